--- a/pkg/fleet/size_test.go
+++ b/pkg/fleet/bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// busyCrowd is a crowd whose routers have work at engines for organisations, as under load.
-func busyCrowd(n, engines, organisations int) *crowd {
-	c := newCrowd(n)
+// newBusyFleet returns a test fleet whose routers have work on engines for organisations.
+func newBusyFleet(n, engines, organisations int) *testFleet {
+	c := newTestFleet(n)
 	c.requests = true
 	i := 0
 	for _, r := range c.routers {
@@ -21,38 +21,38 @@
 			r.loads = append(r.loads, InstanceLoad{Instance: fmt.Sprintf("i-%08x", (i*7+e*13)%engines), Life: 77, Running: 1, Unread: 900, Memory: 9000, ExpectedMs: 300, SeenMs: 280})
 		}
 		for o := range 6 {
-			r.traffic = append(r.traffic, Use{Organisation: fmt.Sprintf("org-%02d", (i+o*11)%organisations), Asked: 1234.5678, Got: 1000.123})
+			r.extraUses = append(r.extraUses, Use{Organisation: fmt.Sprintf("org-%02d", (i+o*11)%organisations), Asked: 1234.5678, Got: 1000.123})
 		}
 		i++
 	}
 	return c
 }
 
-// processor is the processor time that this process has used.
-func processor(t testing.TB) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(t testing.TB) time.Duration {
 	var u syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkExchange reports the processor time of a router in a second of exchanges, in
+// BenchmarkExchange reports the CPU time that a router needs per second of exchanges, in
 // thousandths of a core, without the network.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{30, 100, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			t := &testing.T{}
 			synctest.Test(t, func(*testing.T) {
-				c := busyCrowd(n, 160, 60)
-				c.sealed = true
-				began := processor(b)
-				c.play(time.Second)
-				b.ReportMetric(float64((processor(b)-began).Microseconds())/1000/float64(n), "mcore/first-second")
-				c.play(3 * time.Second)
-				began = processor(b)
+				c := newBusyFleet(n, 160, 60)
+				c.encoded = true
+				began := cpuTime(b)
+				c.run(time.Second)
+				b.ReportMetric(float64((cpuTime(b)-began).Microseconds())/1000/float64(n), "mcore/first-second")
+				c.run(3 * time.Second)
+				began = cpuTime(b)
 				const seconds = 3
 				c.bytes = 0
-				c.play(seconds * time.Second)
-				b.ReportMetric(float64((processor(b)-began).Microseconds())/1000/seconds/float64(n), "mcore/router")
+				c.run(seconds * time.Second)
+				b.ReportMetric(float64((cpuTime(b)-began).Microseconds())/1000/seconds/float64(n), "mcore/router")
 				b.ReportMetric(float64(c.bytes)/seconds/float64(n), "B/s/router")
 			})
 		})
--- a/pkg/fleet/catchup.go
+++ b/pkg/fleet/catchup.go
@@ -12,50 +12,50 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// CatalogPath is where a router gives others what it knows from the store.
+// CatalogPath is where a router serves what it knows from the store to its peers.
 const CatalogPath = "/fleet/catalog"
 
-// CatalogAsk asks for what is newer than what the sender has.
+// CatalogRequest asks for whatever is newer than the sender's own versions.
 type CatalogAsk struct {
 	From      string `cbor:"1,keyasint"`
 	Config    int64  `cbor:"2,keyasint"`
 	Instances int64  `cbor:"3,keyasint"`
-	// Digest is that of the sender's configuration, as Report.ConfigDigest.
+	// Digest is the digest of the sender's configuration, see Report.ConfigDigest.
 	Digest uint64 `cbor:"4,keyasint,omitempty"`
-	// Packed says that the sender reads packed answers.
+	// Packed says that the sender can decode packed answers.
 	Packed bool `cbor:"5,keyasint,omitempty"`
 }
 
-// CatalogGiven is the answer: what is not newer is left out.
+// CatalogUpdate is the answer; it leaves out whatever is not newer.
 type CatalogGiven struct {
-	// PlainConfig and PlainInstances are for routers that don't read packed answers, while a fleet
-	// is upgraded.
+	// PlainConfig and PlainInstances serve routers that cannot decode packed answers during a
+	// rolling upgrade of the fleet.
 	PlainConfig    *routing.Config     `cbor:"1,keyasint,omitempty"`
 	PlainInstances []upstream.Instance `cbor:"2,keyasint,omitempty"`
-	// Config is the packed configuration, as the difference from version Base where that isn't 0.
+	// Config is the packed configuration, as a delta from version Base unless that is 0.
 	Config []byte `cbor:"5,keyasint,omitempty"`
 	Base   int64  `cbor:"6,keyasint,omitempty"`
 	// Instances is the packed list of upstreams at Revision.
 	Instances []byte `cbor:"7,keyasint,omitempty"`
 	Revision  int64  `cbor:"3,keyasint,omitempty"`
-	// Same says that the list is at Revision what it was at the asked one.
+	// Same says that the list at Revision equals the list at the requested revision.
 	Same bool `cbor:"4,keyasint,omitempty"`
 }
 
-// maxCatalog bounds a catalog's message, in bytes.
-const maxCatalog = 8 << 20
+// maxCatalogBytes bounds the size of a catalog message.
+const maxCatalogBytes = 8 << 20
 
-// Catalog asks the peer at addr for what is newer.
-func (d *Duty) Catalog(ctx context.Context, addr string, ask CatalogAsk) (*CatalogGiven, error) {
-	ask.From, ask.Packed = d.fleet.self.Name, true
-	given := new(CatalogGiven)
-	if err := d.post(ctx, addr, CatalogPath, ask, given, maxCatalog); err != nil {
+// FetchCatalog asks the peer at addr for what is newer than req describes.
+func (d *Duty) Catalog(ctx context.Context, addr string, req CatalogAsk) (*CatalogGiven, error) {
+	req.From, req.Packed = d.fleet.self.Name, true
+	update := new(CatalogGiven)
+	if err := d.post(ctx, addr, CatalogPath, req, update, maxCatalogBytes); err != nil {
 		return nil, errors.Trace(err)
 	}
-	return given, nil
+	return update, nil
 }
 
-// post sends a sealed message and reads the sealed answer.
+// post sends an authenticated message and decodes the authenticated answer.
 func (d *Duty) post(ctx context.Context, addr, path string, message, answer any, limit int64) error {
 	secret := d.fleet.Secret()
 	if secret == nil {
@@ -79,7 +79,7 @@
 		return errors.Trace(err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("the peer answers %d", resp.StatusCode)
+		return errors.Errorf("peer answered status %d", resp.StatusCode)
 	}
 	return errors.Trace(decode(body, secret, answer))
 }
--- a/pkg/fleet/clock.go
+++ b/pkg/fleet/clock.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// clock is this router's steady clock, in milliseconds since it started; 1 at least.
-func (f *Fleet) clock(now time.Time) int64 { return max(1, now.Sub(f.born).Milliseconds()) }
+// uptimeMs is this router's monotonic clock, in milliseconds since it started; at least 1.
+func (f *Fleet) uptimeMs(now time.Time) int64 { return max(1, now.Sub(f.startedAt).Milliseconds()) }
 
-// madeAfter gives a time after which a question was surely made: it knows a report that this router
-// made then. A question that knows none is taken to have been under way for no longer than usual.
+// requestSentAfter returns a time after which the sender certainly built a request: the request
+// echoes a report that this router made at that time. A request without a usable echo is assumed
+// to have been in flight for no longer than maxRequestDelay.
 //
-// Guard: what a peer asked with may have waited here or on its way, so its list is older than it
-// says. Taken as it came, two routers that tell each other in turn would keep a list young that
-// nobody reads any more, and one behind a cut would hold its list for current as the cut heals.
-// Answers are dated from their question.
-func (f *Fleet) madeAfter(r *Report, now time.Time) time.Time {
-	usual := now.Add(-mostUnderWay)
+// A request may have waited here or on the network, so the list that it describes is older than
+// it says. If its age were taken at face value, two routers that report to each other in turn
+// would keep a list fresh that nobody reads from the store any more, and a router behind a
+// network partition would be taken to have a current list when the partition heals. Responses are
+// dated from their request.
+func (f *Fleet) requestSentAfter(r *Report, now time.Time) time.Time {
+	latest := now.Add(-maxRequestDelay)
 	if r.Echo <= 0 || r.HaveOf != f.self.Started {
-		return usual
+		return latest
 	}
-	if known := f.born.Add(time.Duration(r.Echo) * time.Millisecond); known.Before(usual) {
-		return known
+	if echoed := f.startedAt.Add(time.Duration(r.Echo) * time.Millisecond); echoed.Before(latest) {
+		return echoed
 	}
-	return usual
+	return latest
 }
--- a/pkg/fleet/clock_test.go
+++ b/pkg/fleet/clock_test.go
@@ -7,37 +7,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a question that waited behind a cut and makes an old list a current one as the cut
-// heals.
-func TestAQuestionThatWaitedTellsOfThePast(t *testing.T) {
+// A request that waited behind a network partition must not make an old list count as current
+// when the partition heals.
+func TestDelayedRequestIsDatedByItsEcho(t *testing.T) {
 	a, b := newRouter(t, "a", []byte("secret")), newRouter(t, "b", []byte("secret"))
-	answer, _ := b.fleet.describe(false)
-	a.fleet.incoming(&answer, time.Now())
-	question := a.fleet.question(a.fleet.peers[b.fleet.self.Peers], false)
-	require.Equal(t, answer.Clock, question.Echo)
+	report, _ := b.fleet.describeSelf(false)
+	a.fleet.handleReport(&report, time.Now())
+	req := a.fleet.request(a.fleet.peers[b.fleet.self.Peers], false)
+	require.Equal(t, report.Clock, req.Echo)
 
 	const waited = 10 * time.Second
-	b.fleet.born = b.fleet.born.Add(-waited) // as long after its report as if the question had waited
-	require.NoError(t, a.duty.post(t.Context(), b.fleet.self.Peers, Path, question, new(Report), maxMessage))
-	require.GreaterOrEqual(t, time.Since(b.asOf), waited)
+	b.fleet.startedAt = b.fleet.startedAt.Add(-waited) // the same time after its report as if the request had waited
+	require.NoError(t, a.duty.post(t.Context(), b.fleet.self.Peers, Path, req, new(Report), maxMessageBytes))
+	require.GreaterOrEqual(t, time.Since(b.peerListAsOf), waited)
 
-	read := b.fleet.born.Add(time.Minute)
-	require.Equal(t, b.fleet.born.Add(time.Duration(answer.Clock)*time.Millisecond), b.fleet.madeAfter(&question, read))
-	question.HaveOf++
-	require.Equal(t, read.Add(-mostUnderWay), b.fleet.madeAfter(&question, read), "an echo of another life says nothing")
-	question.HaveOf--
-	question.Echo = time.Hour.Milliseconds()
-	require.Equal(t, read.Add(-mostUnderWay), b.fleet.madeAfter(&question, read), "nor does one of the future")
+	received := b.fleet.startedAt.Add(time.Minute)
+	require.Equal(t, b.fleet.startedAt.Add(time.Duration(report.Clock)*time.Millisecond), b.fleet.requestSentAfter(&req, received))
+	req.HaveOf++
+	require.Equal(t, received.Add(-maxRequestDelay), b.fleet.requestSentAfter(&req, received), "an echo from another life is ignored")
+	req.HaveOf--
+	req.Echo = time.Hour.Milliseconds()
+	require.Equal(t, received.Add(-maxRequestDelay), b.fleet.requestSentAfter(&req, received), "an echo from the future is ignored")
 }
 
-// Guards against clocks of a peer's earlier life that its later one is held to.
-func TestClocksBelongToALife(t *testing.T) {
+// Clock values of a peer's earlier life must not be compared with those of a later one.
+func TestClockValuesAreComparedWithinOneLife(t *testing.T) {
 	a, b := newRouter(t, "a", []byte("secret")), newRouter(t, "b", []byte("secret"))
-	old, _ := b.fleet.describe(false)
+	old, _ := b.fleet.describeSelf(false)
 	old.Clock = time.Hour.Milliseconds()
-	a.fleet.incoming(&old, time.Now())
-	again, _ := b.fleet.describe(false)
+	a.fleet.handleReport(&old, time.Now())
+	again, _ := b.fleet.describeSelf(false)
 	again.From.Started++
-	a.fleet.incoming(&again, time.Now())
-	require.Equal(t, again.Clock, a.fleet.question(a.fleet.peers[b.fleet.self.Peers], false).Echo)
+	a.fleet.handleReport(&again, time.Now())
+	require.Equal(t, again.Clock, a.fleet.request(a.fleet.peers[b.fleet.self.Peers], false).Echo)
 }
--- a/pkg/fleet/doc.go
+++ b/pkg/fleet/doc.go
@@ -1,9 +1,9 @@
-// Package fleet keeps the routers of a fleet informed of each other: who is alive, what
-// each has in progress on which upstream, what organisations ask for and get, and which
-// engines have read which prompts.
+// Package fleet exchanges state between the routers of a fleet: which routers are alive, what
+// each has in flight on which upstream, how much traffic organisations request and receive, and
+// which engines have which prompt prefixes in their cache.
 //
-// Two routers exchange reports several times a second over HTTP, each sealed with a
-// secret that the fleet keeps in the operators' store. Reports hold state and not
-// changes, so a lost one costs nothing but time. Nobody leads; a router that hears
-// nobody goes on with what it sees itself.
+// Two routers exchange reports several times a second over HTTP. Each report carries an HMAC
+// under a secret that the fleet keeps in the operators' store. Reports hold full state rather
+// than changes, so a lost report only delays information. There is no leader; a router that
+// receives no reports decides on its own observations alone.
 package fleet
--- a/pkg/fleet/exchange.go
+++ b/pkg/fleet/exchange.go
@@ -6,81 +6,81 @@
 	"github.com/apex/log"
 )
 
-// question builds the report that begins an exchange with p.
-func (f *Fleet) question(p *peer, others bool) Report {
-	r, now := f.describe(others)
+// request builds the report that begins an exchange with p.
+func (f *Fleet) request(p *peer, withOthers bool) Report {
+	r, now := f.describeSelf(withOthers)
 	f.mu.Lock()
-	told := p.report
+	theirs := p.report
 	f.mu.Unlock()
-	f.addGiven(&r, p, told, now)
+	f.pushUpdate(&r, p, theirs, now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	scope := ScopeOwn
-	switch place := f.last; {
-	case place.direct:
-	case place.hub && place.isHub(p.member.Peers):
+	switch current := f.role; {
+	case current.direct:
+	case current.hub && current.isHub(p.member.Peers):
 		scope = ScopeGroup
-	case !place.hub && place.own == p.member.Peers:
+	case !current.hub && current.ownHub == p.member.Peers:
 		r.AskAll = true
 	}
-	f.complete(&r, p, scope, others, now)
+	f.setScope(&r, p, scope, withOthers, now)
 	return r
 }
 
-// reply builds the answer to q from p.
-func (f *Fleet) reply(p *peer, q *Report) Report {
-	r, now := f.describe(q.AskOthers)
-	f.addGiven(&r, p, q, now)
+// response builds the answer to req from p.
+func (f *Fleet) response(p *peer, req *Report) Report {
+	r, now := f.describeSelf(req.AskOthers)
+	f.pushUpdate(&r, p, req, now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	scope := ScopeOwn
 	switch {
-	case q.AskAll:
+	case req.AskAll:
 		scope = ScopeAll
-	case q.Scope == ScopeGroup:
+	case req.Scope == ScopeGroup:
 		scope = ScopeGroup
 	}
-	f.complete(&r, p, scope, q.AskOthers, now)
+	f.setScope(&r, p, scope, req.AskOthers, now)
 	return r
 }
 
-// describe tells of this router alone.
-func (f *Fleet) describe(others bool) (Report, time.Time) {
-	r := Report{From: f.self, Clock: f.clock(time.Now())}
+// describeSelf builds a report of this router's own work.
+func (f *Fleet) describeSelf(withOthers bool) (Report, time.Time) {
+	r := Report{From: f.self, Clock: f.uptimeMs(time.Now())}
 	f.local.Describe(&r)
-	if others {
+	if withOthers {
 		r.Suspects, r.AskOthers = f.local.Suspects(), true
 	}
-	fresh := f.local.Reads()
+	prefixes := f.local.Reads()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i := range f.logs {
-		f.logs[i].add(fresh)
+	for i := range f.prefixLogs {
+		f.prefixLogs[i].add(prefixes)
 	}
 	now := time.Now()
 	if r.Pressed {
-		f.lateAt = now
+		f.starvedAt = now
 	}
-	f.observe(&r, now)
+	f.recordWork(&r, now)
 	return r, now
 }
 
-// complete widens r, which tells of this router alone, to a scope.
-func (f *Fleet) complete(r *Report, p *peer, scope Scope, others bool, now time.Time) {
+// setScope extends r, which describes this router alone, to the work of the given scope.
+func (f *Fleet) setScope(r *Report, p *peer, scope Scope, withOthers bool, now time.Time) {
 	r.Scope, r.ReadOf = scope, scope
-	after := p.acked
-	if p.ackedOf != scope {
+	after := p.ackedSeq
+	if p.ackedScope != scope {
 		after = 0
 	}
-	r.Read, r.Last = f.logs[scope].after(after)
-	r.Have, r.HaveOf, r.HaveReadOf = p.have, p.member.Started, p.haveOf
+	r.Read, r.Last = f.prefixLogs[scope].after(after)
+	r.Have, r.HaveOf, r.HaveReadOf = p.receivedSeq, p.member.Started, p.receivedScope
 	r.HaveDigest = p.digest
 	r.Echo = p.clock
 	if scope != ScopeOwn {
-		f.widen(r, p, scope, now)
+		f.addTotals(r, p, scope, now)
 		return
 	}
-	if !others || !f.last.direct {
+	if !withOthers || !f.role.direct {
 		return
 	}
 	for _, o := range f.peers {
@@ -90,118 +90,120 @@
 	}
 }
 
-// widen adds the work of others to r, and names the routers of the scope.
-func (f *Fleet) widen(r *Report, p *peer, scope Scope, now time.Time) {
+// addTotals adds the work of the other routers in the scope to r, and lists these routers.
+func (f *Fleet) addTotals(r *Report, p *peer, scope Scope, now time.Time) {
 	var total Work
 	if scope == ScopeAll {
 		total = f.sumWithout(p, now)
 	} else {
-		total = f.group(now)
+		total = f.sumGroup(now)
 	}
 	total.add(r, 1, 0)
 	total.fill(r)
-	list, sum := f.entriesOf(scope, Entry{Member: f.self, Ready: r.Ready, Pressed: r.Pressed, Config: r.Config}, now)
+	list, sum := f.membersOf(scope, Entry{Member: f.self, Ready: r.Ready, Pressed: r.Pressed, Config: r.Config}, now)
 	r.Digest = sum
-	if sum != p.theirDigest {
+	if sum != p.ackedDigest {
 		r.Entries = list
 	}
 }
 
-// incoming takes a report that was made at made or later.
-func (f *Fleet) incoming(r *Report, made time.Time) {
+// handleReport processes a report that was created at createdAt or later.
+func (f *Fleet) handleReport(r *Report, createdAt time.Time) {
 	now := time.Now()
-	f.takeGiven(r, made)
+	f.applyUpdate(r, createdAt)
 	f.mu.Lock()
-	p := f.meet(r.From)
-	if p == nil || p.outdated(r, now) {
+	p := f.addMember(r.From)
+	if p == nil || p.isOutdated(r, now) {
 		f.mu.Unlock()
 		return
 	}
-	if !p.heardLately(now) && f.last.direct {
-		f.log.WithFields(log.Fields{"event": "peer_regained", "peer": r.From.Name, "addr": r.From.Peers, "started": r.From.Started}).Info("router is heard of")
+	if !p.reportedRecently(now) && f.role.direct {
+		f.log.WithFields(log.Fields{"event": "peer_regained", "peer": r.From.Name, "addr": r.From.Peers, "started": r.From.Started}).Info("router is reachable")
 	}
 	if p.report == nil || r.From.Started != p.report.From.Started {
-		p.have, p.acked, p.clock = 0, 0, 0
+		p.receivedSeq, p.ackedSeq, p.clock = 0, 0, 0
 	}
 	p.clock = max(p.clock, r.Clock)
-	p.member, p.heard, p.failed = r.From, now, 0
-	p.ready, p.pressed, p.config = r.Ready, r.Pressed, r.Config
-	p.theirDigest = r.HaveDigest
-	f.keep(p, r, now)
+	p.member, p.reportAt, p.failures = r.From, now, 0
+	p.ready, p.starved, p.config = r.Ready, r.Pressed, r.Config
+	p.ackedDigest = r.HaveDigest
+	f.storeReport(p, r, now)
 	if r.HaveOf == f.self.Started {
-		p.acked, p.ackedOf = r.Have, r.HaveReadOf
+		p.ackedSeq, p.ackedScope = r.Have, r.HaveReadOf
 	}
-	fresh := r.Read
-	if r.ReadOf != p.haveOf || r.Last > p.have {
-		p.have, p.haveOf = r.Last, r.ReadOf
+	prefixes := r.Read
+	if r.ReadOf != p.receivedScope || r.Last > p.receivedSeq {
+		p.receivedSeq, p.receivedScope = r.Last, r.ReadOf
 	}
-	f.passOn(r)
-	f.vouch(p, r, now)
+	f.relayPrefixes(r)
+	f.mergeMembers(p, r, now)
 	for _, m := range r.Others {
-		f.meet(m)
+		f.addMember(m)
 	}
-	total, publish := f.published(now)
+	totals, publish := f.othersToPublish(now)
 	f.mu.Unlock()
-	if len(fresh) > 0 {
-		f.local.Learn(fresh)
+	if len(prefixes) > 0 {
+		f.local.Learn(prefixes)
 	}
 	if len(r.Suspects) > 0 {
 		f.local.Suspect(r.Suspects)
 	}
 	if publish {
-		f.local.Work(total)
+		f.local.Work(totals)
 	}
 	f.local.Evacuated(r.From, r.Evacuated, r.EvacuatedAt, r.Restored)
 	if r.Store != nil {
-		f.local.StoreHeard(r.Store.span(made, now))
+		f.local.StoreHeard(r.Store.span(createdAt, now))
 	}
-	f.local.Behind(r, r.listAsOf(made))
+	f.local.Behind(r, r.listAsOf(createdAt))
 }
 
-// keep keeps what r says of work, without what is taken over at once.
-func (f *Fleet) keep(p *peer, r *Report, now time.Time) {
-	kept := *r
-	kept.Read, kept.Others, kept.Suspects, kept.Entries, kept.Evacuated, kept.Restored, kept.Store, kept.Given = nil, nil, nil, nil, nil, nil, nil, nil
+// storeReport stores the work that r describes, without the parts that are processed immediately.
+func (f *Fleet) storeReport(p *peer, r *Report, now time.Time) {
+	stored := *r
+	stored.Read, stored.Others, stored.Suspects, stored.Entries, stored.Evacuated, stored.Restored, stored.Store, stored.Given = nil, nil, nil, nil, nil, nil, nil, nil
 	if r.Scope == ScopeAll {
-		f.keepUses(&kept, now)
-		f.fromHub, f.fromHubAt = &kept, now
-		// Its loads are no report of the hub's own work.
+		f.selectUses(&stored, now)
+		f.hubReport, f.hubReportAt = &stored, now
+		// Its loads do not describe the hub's own work.
 		p.report = &Report{From: r.From, Scope: ScopeAll, Config: r.Config, ConfigDigest: r.ConfigDigest, Instances: r.Instances, ListAgeMs: r.ListAgeMs}
 		return
 	}
-	p.report = &kept
-	p.pace = min(time.Duration(max(0, r.PaceMs))*time.Millisecond, memberIdle)
-	p.joined = time.Time{}
+	p.report = &stored
+	p.reportInterval = min(time.Duration(max(0, r.PaceMs))*time.Millisecond, memberIdleInterval)
+	p.joinedAt = time.Time{}
 	if r.AskAll {
-		p.joined = now
+		p.joinedAt = now
 	}
 }
 
-// settles is how long after a change of hub the former one may still count this router's work.
-const settles = aliveFor
+// hubSwitchGrace is how long after a change of hub the former hub may still count this router's
+// work.
+const hubSwitchGrace = aliveTimeout
 
-// keepUses decides whether the uses that a hub tells are gone by, or those told before.
+// selectUses decides whether the uses in a hub's report apply, or those of the report before.
 //
-// Guard: a router that turns to another hub still counts at the former one for a while, and hears
-// of its own use as that of others. An organisation whose callers all come to it then seems to get
-// twice what it does and is refused, for seconds where the router is late and misses the next
-// reports. What the former hub told had no use of this router's.
-func (f *Fleet) keepUses(told *Report, now time.Time) {
-	if f.fromHub != nil && now.Sub(f.hubSince) < settles && now.Sub(f.usesAt) < usesKept {
-		told.Uses = f.fromHub.Uses
+// For a while after a router has changed its hub, the former hub still counts its work, and the
+// router receives its own use as use of other routers. An organisation whose callers all use this
+// router then seems to get twice its actual traffic and is refused, for seconds where the router
+// is CPU-starved and misses the next reports. The uses that the former hub sent do not include
+// this router's.
+func (f *Fleet) selectUses(report *Report, now time.Time) {
+	if f.hubReport != nil && now.Sub(f.roleSince) < hubSwitchGrace && now.Sub(f.hubUsesAt) < hubUsesMaxAge {
+		report.Uses = f.hubReport.Uses
 		return
 	}
-	f.usesAt = now
+	f.hubUsesAt = now
 }
 
-// passOn puts prompts that others have read into the logs for those who learn of them
-// only from here.
-func (f *Fleet) passOn(r *Report) {
+// relayPrefixes adds the prefixes in r to the logs for routers that receive them only through
+// this one.
+func (f *Fleet) relayPrefixes(r *Report) {
 	switch {
 	case r.AskAll:
-		f.logs[ScopeGroup].add(r.Read)
-		f.logs[ScopeAll].add(r.Read)
+		f.prefixLogs[ScopeGroup].add(r.Read)
+		f.prefixLogs[ScopeAll].add(r.Read)
 	case r.Scope == ScopeGroup:
-		f.logs[ScopeAll].add(r.Read)
+		f.prefixLogs[ScopeAll].add(r.Read)
 	}
 }
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -18,28 +18,28 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// router is one router with what it told and learnt.
+// router is a router that records what it receives.
 type router struct {
-	mu       sync.Mutex
-	loads    []InstanceLoad
-	reads    []PromptRead
-	learnt   []PromptRead
-	others   map[LifeKey]InstanceLoad
-	uses     map[string]Use
-	traffic  []Use
-	inflows  map[string]Inflow
-	behind   int64
-	asOf     time.Time
-	suspects []wire.Suspicion
+	mu           sync.Mutex
+	loads        []InstanceLoad
+	newPrefixes  []PromptRead
+	received     []PromptRead
+	others       map[LifeKey]InstanceLoad
+	uses         map[string]Use
+	extraUses    []Use
+	inflows      map[string]Inflow
+	peerConfig   int64
+	peerListAsOf time.Time
+	suspects     []wire.Suspicion
 	// evacuated are the evacuated zones that the router knows of, as of evacuatedAt.
 	evacuated   []string
 	evacuatedAt int64
-	// storeSince and storeUntil are the contact with the store that the router was told of, told
-	// the one that it tells.
+	// storeSince and storeUntil are the received contact with the store, contact is the one to
+	// send.
 	storeSince, storeUntil time.Time
-	told                   *StoreContact
-	heard                  chan struct{}
-	late                   bool
+	contact                *StoreContact
+	reported               chan struct{}
+	starved                bool
 
 	fleet *Fleet
 	duty  *Duty
@@ -48,14 +48,14 @@
 func (r *router) Describe(rep *Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep.Ready, rep.Pressed, rep.Loads, rep.Config, rep.ListAgeMs = true, r.late, r.loads, 7, listAge.Milliseconds()
-	rep.Uses = append([]Use{{Organisation: "org", Asked: 10, Got: 5}}, r.traffic...)
+	rep.Ready, rep.Pressed, rep.Loads, rep.Config, rep.ListAgeMs = true, r.starved, r.loads, 7, listAge.Milliseconds()
+	rep.Uses = append([]Use{{Organisation: "org", Asked: 10, Got: 5}}, r.extraUses...)
 	rep.Evacuated, rep.EvacuatedAt = r.evacuated, r.evacuatedAt
 	rep.Inflows = []Inflow{{Service: "llm", Rate: 2}}
-	rep.Store = r.told
+	rep.Store = r.contact
 }
 
-// readyPeers are the other routers that callers may be sent to.
+// readyPeers returns the other routers that callers may be sent to.
 func (r *router) readyPeers() []Entry {
 	return slices.DeleteFunc(r.fleet.Alive(), func(e Entry) bool { return !e.Ready })
 }
@@ -63,15 +63,15 @@
 func (r *router) Reads() []PromptRead {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := r.reads
-	r.reads = nil
+	list := r.newPrefixes
+	r.newPrefixes = nil
 	return list
 }
 
 func (r *router) Learn(list []PromptRead) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.learnt = append(r.learnt, list...)
+	r.received = append(r.received, list...)
 }
 
 func (r *router) Work(w Work) {
@@ -98,10 +98,10 @@
 
 func (r *router) Behind(rep *Report, asOf time.Time) {
 	r.mu.Lock()
-	r.behind, r.asOf = rep.Config, asOf
+	r.peerConfig, r.peerListAsOf = rep.Config, asOf
 	r.mu.Unlock()
 	select {
-	case r.heard <- struct{}{}:
+	case r.reported <- struct{}{}:
 	default:
 	}
 }
@@ -118,14 +118,14 @@
 
 func (r *router) Catalog(CatalogAsk) CatalogGiven { return CatalogGiven{Revision: 3} }
 
-var quiet = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
+var discardLog = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 
 func newRouter(t *testing.T, name string, secret []byte) *router {
-	r := &router{heard: make(chan struct{}, 1)}
+	r := &router{reported: make(chan struct{}, 1)}
 	var f *Fleet
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, in *http.Request) { f.Handler().ServeHTTP(w, in) }))
 	t.Cleanup(s.Close)
-	f = New(Member{Name: name, Peers: s.Listener.Addr().String(), Callers: name + ":1", Started: 1}, r, quiet)
+	f = New(Member{Name: name, Peers: s.Listener.Addr().String(), Callers: name + ":1", Started: 1}, r, discardLog)
 	f.SetSecret(secret)
 	r.fleet, r.duty = f, NewDuty(f)
 	return r
@@ -138,7 +138,7 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// listAge is how old routers say that their lists are.
+// listAge is the age of its list that each router reports.
 const listAge = 300 * time.Millisecond
 
 var secret = []byte("secret")
@@ -146,25 +146,25 @@
 func TestRoutersTellEachOther(t *testing.T) {
 	a, b := newRouter(t, "a", secret), newRouter(t, "b", secret)
 	a.loads = []InstanceLoad{{Instance: "i", Running: 3, Unread: 100}}
-	a.reads = []PromptRead{{Key: 1, Instance: "i"}}
+	a.newPrefixes = []PromptRead{{Key: 1, Instance: "i"}}
 	a.fleet.Meet([]Member{b.fleet.self})
 	a.run(t)
 	b.run(t)
-	<-a.heard
-	<-b.heard
+	<-a.reported
+	<-b.reported
 	require.Equal(t, 2, a.fleet.Count())
 	require.Equal(t, "a:1", b.readyPeers()[0].Member.Callers)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	require.Equal(t, 3, b.others[LifeKey{Instance: "i"}].Running)
 	require.Equal(t, 5.0, b.uses["org"].Got)
-	require.Equal(t, []PromptRead{{Key: 1, Instance: "i"}}, b.learnt)
-	require.EqualValues(t, 7, b.behind)
+	require.Equal(t, []PromptRead{{Key: 1, Instance: "i"}}, b.received)
+	require.EqualValues(t, 7, b.peerConfig)
 	require.Len(t, b.suspects, 1)
 }
 
-// Two routers know only a third one. Whichever of them begins the exchanges, all three
-// must come to know each other: callers are sent to routers that are heard of.
+// Two routers know only a third one. Whichever of them begins the exchanges, all three must
+// discover each other: callers are sent to routers that are alive.
 func TestRoutersAreIntroduced(t *testing.T) {
 	for _, middle := range []int{0, 1, 2} {
 		routers := []*router{newRouter(t, "a", secret), newRouter(t, "b", secret), newRouter(t, "c", secret)}
@@ -175,17 +175,17 @@
 		}
 		for _, r := range routers {
 			for r.fleet.Count() < 3 {
-				<-r.heard
+				<-r.reported
 			}
 		}
 	}
 }
 
-// A message that doesn't come from the fleet could name any upstream as full, or bring a
-// configuration of somebody's own.
-func TestMessagesWithAWrongSealAreRefused(t *testing.T) {
-	a, stranger := newRouter(t, "a", secret), newRouter(t, "x", []byte("guess"))
-	err := stranger.duty.post(context.Background(), a.fleet.self.Peers, Path, Report{From: stranger.fleet.self}, new(Report), maxMessage)
+// An unauthenticated message could report any upstream as full, or deliver a forged
+// configuration.
+func TestUnauthenticatedMessagesAreRefused(t *testing.T) {
+	a, forger := newRouter(t, "a", secret), newRouter(t, "x", []byte("guess"))
+	err := forger.duty.post(context.Background(), a.fleet.self.Peers, Path, Report{From: forger.fleet.self}, new(Report), maxMessageBytes)
 	require.ErrorContains(t, err, "403")
 	require.Equal(t, 1, a.fleet.Count())
 
@@ -198,13 +198,13 @@
 	require.Equal(t, http.StatusForbidden, resp.StatusCode)
 }
 
-// A stranger asks for the secret. Only addresses where a router is known to live get it.
-func TestTheSecretIsHandedToKnownAddressesOnly(t *testing.T) {
+// An unknown host asks for the secret. Only addresses of known routers may receive it.
+func TestTheSecretIsSentToKnownAddressesOnly(t *testing.T) {
 	full := bytes.Repeat([]byte("s"), secretSize)
 	a, b := newRouter(t, "a", full), newRouter(t, "b", nil)
 	a.fleet.Meet([]Member{{Peers: "127.0.0.1:1"}})
 	_, err := b.duty.Secret(context.Background(), a.fleet.self.Peers)
-	require.ErrorContains(t, err, "403", "a seed that was never heard of is not known")
+	require.ErrorContains(t, err, "403", "a seed that no report has named is not known")
 	a.fleet.Meet([]Member{b.fleet.self})
 	got, err := b.duty.Secret(context.Background(), a.fleet.self.Peers)
 	require.NoError(t, err)
@@ -218,63 +218,63 @@
 	require.EqualValues(t, 3, given.Revision)
 }
 
-// A router is killed and starts again with an empty log. Were its entries counted on from
-// the old ones, its peers would take none until it had caught up with itself.
-func TestARestartedRouterIsHeardFromTheStart(t *testing.T) {
+// A router is killed and restarts with an empty prefix log. If its entries were numbered on from
+// the old ones, its peers would accept none until the number of the last old entry is reached.
+func TestPrefixLogStartsAnewWithItsRouter(t *testing.T) {
 	a := newRouter(t, "a", secret)
 	m := Member{Name: "b", Peers: "127.0.0.1:1", Started: 1}
-	a.fleet.incoming(&Report{From: m, Read: []PromptRead{{Key: 1}, {Key: 2}}, Last: 2}, time.Now())
+	a.fleet.handleReport(&Report{From: m, Read: []PromptRead{{Key: 1}, {Key: 2}}, Last: 2}, time.Now())
 	m.Started = 2
-	a.fleet.incoming(&Report{From: m, Read: []PromptRead{{Key: 3}}, Last: 1}, time.Now())
-	require.EqualValues(t, 1, a.fleet.peers[m.Peers].have)
-	require.Len(t, a.learnt, 3)
+	a.fleet.handleReport(&Report{From: m, Read: []PromptRead{{Key: 3}}, Last: 1}, time.Now())
+	require.EqualValues(t, 1, a.fleet.peers[m.Peers].receivedSeq)
+	require.Len(t, a.received, 3)
 	m.Started = 1
-	a.fleet.incoming(&Report{From: m, Last: 9}, time.Now())
-	require.EqualValues(t, 1, a.fleet.peers[m.Peers].have, "a late report of the earlier life is passed over")
+	a.fleet.handleReport(&Report{From: m, Last: 9}, time.Now())
+	require.EqualValues(t, 1, a.fleet.peers[m.Peers].receivedSeq, "a delayed report of the earlier life is ignored")
 }
 
-// A host's time of day jumps back by seconds, then its router is killed. By its time of
-// start the new life seems older than the old one. Passed over for that, the router would
-// be no entry for callers and its work would be counted nowhere until it was forgotten;
-// other routers may still name the old life meanwhile.
-func TestARouterIsHeardAfterItsClockWentBack(t *testing.T) {
+// A host's wall clock jumps back by seconds, then its router is killed. By its start time the new
+// life seems older than the old one. If it were ignored for that, callers would not be referred
+// to the router and its work would be counted nowhere until the old life is forgotten. Meanwhile
+// other routers may still name the old life.
+func TestReportsAreAcceptedAfterAClockJumpedBack(t *testing.T) {
 	a := newRouter(t, "a", secret)
 	m := Member{Name: "b", Peers: "127.0.0.1:1", Started: 1000}
-	a.fleet.incoming(&Report{From: m, Ready: true, Last: 9}, time.Now())
-	a.fleet.peers[m.Peers].heard = time.Now().Add(-aliveFor)
+	a.fleet.handleReport(&Report{From: m, Ready: true, Last: 9}, time.Now())
+	a.fleet.peers[m.Peers].reportAt = time.Now().Add(-aliveTimeout)
 	old := m
 	m.Started = 10
 	for range 2 {
-		a.fleet.incoming(&Report{From: m, Ready: true, Last: 1}, time.Now())
+		a.fleet.handleReport(&Report{From: m, Ready: true, Last: 1}, time.Now())
 		require.Len(t, a.readyPeers(), 1)
-		require.EqualValues(t, 1, a.fleet.peers[m.Peers].have)
+		require.EqualValues(t, 1, a.fleet.peers[m.Peers].receivedSeq)
 		a.fleet.Meet([]Member{old})
 	}
 	require.EqualValues(t, 10, a.fleet.peers[m.Peers].member.Started)
 }
 
-// Two routers tell each other in turn that their lists of upstreams are current, and nobody
-// reads the store any more. Each must find the list older than the other says, by at least
-// the time under way, or upstreams that have left would be used for ever.
+// Two routers report to each other in turn that their lists of upstreams are current, and nobody
+// reads the store any more. Each must consider the list older than the other says, by at least
+// the transit time, or upstreams that have left would be used for ever.
 func TestListsAgeOnTheirWay(t *testing.T) {
 	a, b := newRouter(t, "a", secret), newRouter(t, "b", secret)
 	a.fleet.Meet([]Member{b.fleet.self})
 	a.duty.exchange(context.Background(), a.fleet.peers[b.fleet.self.Peers])
-	require.False(t, a.asOf.IsZero())
-	require.GreaterOrEqual(t, time.Since(a.asOf), listAge)
-	require.GreaterOrEqual(t, time.Since(b.asOf), listAge+mostUnderWay, "a question may have waited")
+	require.False(t, a.peerListAsOf.IsZero())
+	require.GreaterOrEqual(t, time.Since(a.peerListAsOf), listAge)
+	require.GreaterOrEqual(t, time.Since(b.peerListAsOf), listAge+maxRequestDelay, "a request may have waited")
 }
 
-// A router freezes. What it had in progress must not keep engines out of use for long,
-// and callers must not be sent to it.
+// A router freezes. Its work in flight must not keep engines out of use for long, and callers
+// must not be sent to it.
 func TestSilentRoutersAreLeftOut(t *testing.T) {
 	a := newRouter(t, "a", secret)
 	m := Member{Name: "b", Peers: "127.0.0.1:1", Started: 1}
-	a.fleet.incoming(&Report{From: m, Ready: true, Loads: []InstanceLoad{{Instance: "i", Running: 5}}}, time.Now())
+	a.fleet.handleReport(&Report{From: m, Ready: true, Loads: []InstanceLoad{{Instance: "i", Running: 5}}}, time.Now())
 	require.Len(t, a.readyPeers(), 1)
-	later := time.Now().Add(aliveFor)
+	later := time.Now().Add(aliveTimeout)
 	a.fleet.mu.Lock()
-	loads := a.fleet.others(later).Loads
+	loads := a.fleet.othersTotals(later).Loads
 	alive := a.fleet.peers[m.Peers].alive(later)
 	a.fleet.mu.Unlock()
 	require.Empty(t, loads)
@@ -283,12 +283,12 @@
 
 func TestExchangesOfAPairAreBegunByOne(t *testing.T) {
 	now := time.Unix(100, 0)
-	f := New(Member{Peers: "b"}, nil, quiet)
-	larger, smaller := &peer{member: Member{Peers: "c"}, heard: now}, &peer{member: Member{Peers: "a"}, heard: now}
-	require.True(t, f.isDue(larger, now, exchangeEvery))
-	require.False(t, f.isDue(smaller, now, exchangeEvery))
-	require.True(t, f.isDue(smaller, now.Add(time.Second), exchangeEvery), "the other way may be cut")
-	larger.failed, larger.tried = 3, now
-	require.False(t, f.isDue(larger, now.Add(exchangeEvery), exchangeEvery))
-	require.True(t, f.isDue(larger, now.Add(maxFailedPause), exchangeEvery))
+	f := New(Member{Peers: "b"}, nil, discardLog)
+	larger, smaller := &peer{member: Member{Peers: "c"}, reportAt: now}, &peer{member: Member{Peers: "a"}, reportAt: now}
+	require.True(t, f.isDue(larger, now, exchangeInterval))
+	require.False(t, f.isDue(smaller, now, exchangeInterval))
+	require.True(t, f.isDue(smaller, now.Add(time.Second), exchangeInterval), "the path in the other direction may be down")
+	larger.failures, larger.askedAt = 3, now
+	require.False(t, f.isDue(larger, now.Add(exchangeInterval), exchangeInterval))
+	require.True(t, f.isDue(larger, now.Add(maxRetryInterval), exchangeInterval))
 }
--- a/pkg/fleet/hub.go
+++ b/pkg/fleet/hub.go
@@ -9,64 +9,65 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// In a small fleet every router tells every other one of its work. In a larger one that
-// would cost each router as many exchanges as there are routers, and reports would be old
-// before they have gone round. There some routers are hubs: each of the others tells one
-// hub, which gives it the work of all; hubs tell each other the sums of their groups.
+// In a small fleet every router reports its work to every other one. In a larger fleet that would
+// cost each router as many exchanges as there are routers, and reports would be stale before they
+// had reached all of them. There some routers are hubs: each of the others, the members, reports
+// to one hub, which answers with the totals of all routers; hubs exchange the totals of their
+// groups.
 //
-// Nobody appoints hubs: each router works them out from the routers that it takes to be
-// alive. Where two views differ for a moment, some work is counted twice or not at all for
-// as long as a group's report lives.
+// Hubs are not elected: each router derives them from the routers that it considers alive. Where
+// two views differ for a moment, some work is counted twice or not at all until a group's report
+// expires.
 const (
-	// directLimit is the largest fleet without hubs.
+	// directLimit is the size of the largest fleet without hubs.
 	directLimit = 16
-	// groupSize is the usual number of routers to a hub; leastHubs are enough that the loss
-	// of two leaves one.
+	// groupSize is the usual number of routers per hub; with minHubs the loss of two hubs leaves
+	// one.
 	groupSize = 12
-	leastHubs = 3
-	// mostHubs bounds the hubs, each of which exchanges with each other one. Groups grow
-	// beyond it, and their members exchange less often.
-	mostHubs = 16
-	// strongHub is the part of the strongest router's processor that a hub has at least.
-	strongHub = 0.5
-	// memberEvery is the pause between two exchanges with the own hub, hubEvery the least one
-	// between two of hubs, for routers that are short of processor; memberQuick and hubQuick are
-	// those of all others, as what is in progress changes within some hundredths of a second.
-	// Members to which no request came since the last exchange have nothing to decide, and go
-	// by memberEvery, too.
-	memberEvery = 150 * time.Millisecond
-	hubEvery    = 100 * time.Millisecond
-	memberQuick = 60 * time.Millisecond
-	hubQuick    = 60 * time.Millisecond
-	// perHub stretches the quick pause of many hubs, as perPeer does the usual one; perMember
-	// does so for the members of a large group.
-	perHub    = perPeer / 2
-	perMember = 2 * time.Millisecond
-	// memberIdle is the pause of a member that serves nothing: its hub has nothing to learn
-	// from it, and it asks at once when a request comes.
-	memberIdle = 500 * time.Millisecond
-	// groupLife is how long work counts to a group after its last report: a router that
-	// chooses another hub is counted twice no longer.
-	groupLife = 600 * time.Millisecond
-	// avoidFor is how long a hub that did not answer is passed over.
-	avoidFor = 3 * time.Second
+	minHubs   = 3
+	// maxHubs bounds the number of hubs, as each exchanges with every other one. In larger fleets
+	// the groups grow instead, and their members exchange less often.
+	maxHubs = 16
+	// minHubPower is the least power of a hub, as a fraction of the strongest router's.
+	minHubPower = 0.5
+	// memberInterval is the time between a member's exchanges with its hub and hubInterval the
+	// least time between two exchanges of hubs, for routers that are CPU-starved;
+	// memberFastInterval and hubFastInterval apply to all others, as work in flight changes
+	// within some hundredths of a second. Members that have received no request since the last
+	// exchange have no decisions to make and use memberInterval, too.
+	memberInterval     = 150 * time.Millisecond
+	hubInterval        = 100 * time.Millisecond
+	memberFastInterval = 60 * time.Millisecond
+	hubFastInterval    = 60 * time.Millisecond
+	// intervalPerHub lengthens the fast interval where there are many hubs, as intervalPerPeer
+	// does the usual one; intervalPerMember does so for the members of a large group.
+	intervalPerHub    = intervalPerPeer / 2
+	intervalPerMember = 2 * time.Millisecond
+	// memberIdleInterval applies to an idle member: its hub has nothing to learn from it, and it
+	// asks immediately when a request arrives.
+	memberIdleInterval = 500 * time.Millisecond
+	// groupTimeout is how long after a member's last report its work counts in the group: a
+	// router that changes its hub is counted twice for no longer.
+	groupTimeout = 600 * time.Millisecond
+	// hubRetryAfter is how long a hub that did not answer is avoided.
+	hubRetryAfter = 3 * time.Second
 )
 
-// role is a router's place in the exchange.
+// role is a router's role in the exchange.
 type role struct {
-	// direct: everybody tells everybody.
+	// direct says that every router reports to every other one.
 	direct bool
-	// hubs are the hubs' addresses for peers, the strongest routers first.
+	// hubs are the peer addresses of the hubs in rank order.
 	hubs []string
-	// hub is whether this router is one, own the hub that it reports to when it is none.
-	hub bool
-	own string
+	// hub says that this router is a hub; otherwise ownHub is the hub that it reports to.
+	hub    bool
+	ownHub string
 }
 
 // isHub reports whether the router at addr is a hub.
 func (r role) isHub(addr string) bool { return slices.Contains(r.hubs, addr) }
 
-// name is the role for logs and operators: "direct", "hub", or the hub's address.
+// name is the role for logs and operators: "direct", "hub", or the address of the own hub.
 func (r role) name() string {
 	switch {
 	case r.direct:
@@ -74,79 +75,79 @@
 	case r.hub:
 		return "hub"
 	}
-	return r.own
+	return r.ownHub
 }
 
-// takeRole works the role out anew, and logs when it is another.
-func (f *Fleet) takeRole(now time.Time) {
-	c := f.censusAt(now)
-	if f.roleAt.Equal(c.at) && !f.missesHub() {
+// updateRole recomputes this router's role, and logs a change.
+func (f *Fleet) updateRole(now time.Time) {
+	snap := f.snapshotAt(now)
+	if f.roleSnapshotAt.Equal(snap.at) && !f.ownHubFailed() {
 		return
 	}
-	f.roleAt = c.at
-	before := f.last.name()
-	f.last = f.role(c, now)
-	if f.last.name() == before {
+	f.roleSnapshotAt = snap.at
+	previous := f.role.name()
+	f.role = f.computeRole(snap, now)
+	if f.role.name() == previous {
 		return
 	}
-	f.hubSince = now
-	f.log.WithFields(log.Fields{"event": "exchange_role", "role": f.last.name(), "before": before, "hubs": len(f.last.hubs), "routers": c.count}).Info("other place in the exchange")
+	f.roleSince = now
+	f.log.WithFields(log.Fields{"event": "exchange_role", "role": f.role.name(), "before": previous, "hubs": len(f.role.hubs), "routers": snap.count}).Info("exchange role changed")
 }
 
-// missesHub reports whether this router's hub did not answer the last time.
-func (f *Fleet) missesHub() bool {
-	p := f.peers[f.last.own]
-	return f.last.own != "" && (p == nil || p.failed > 0)
+// ownHubFailed reports whether the last exchange with this router's hub failed.
+func (f *Fleet) ownHubFailed() bool {
+	p := f.peers[f.role.ownHub]
+	return f.role.ownHub != "" && (p == nil || p.failures > 0)
 }
 
-// role works out this router's place.
-func (f *Fleet) role(c *census, now time.Time) role {
-	if c.count <= directLimit {
+// computeRole derives this router's role from a snapshot.
+func (f *Fleet) computeRole(snap *snapshot, now time.Time) role {
+	if snap.count <= directLimit {
 		return role{direct: true}
 	}
 	r := role{}
-	for _, s := range c.strongest[:hubCount(c.strongest)] {
+	for _, s := range snap.ranking[:hubCount(snap.ranking)] {
 		r.hubs = append(r.hubs, s.addr)
 	}
 	r.hub = r.isHub(f.self.Peers)
 	if !r.hub {
-		r.own = f.chooseHub(r.hubs, now)
+		r.ownHub = f.chooseHub(r.hubs, now)
 	}
 	return r
 }
 
-// lateFor is how long after it was last short of processor a router counts as late.
-const lateFor = 5 * time.Second
+// starvedFor is how long a router counts as CPU-starved after this was last observed.
+const starvedFor = 5 * time.Second
 
-// hubCount is the number of hubs of a fleet, given in the order of strength: one for each
-// group, but no weak ones, and no more than exchange with each other often enough.
-func hubCount(routers []ranked) int {
+// hubCount returns the number of hubs of a fleet, given in rank order: one for each group, but no
+// weak ones, and no more than can exchange with each other often enough.
+func hubCount(routers []rankKey) int {
 	wanted := int(math.Ceil(float64(len(routers)) / groupSize))
 	strong := 0
-	for strong < len(routers) && routers[strong].power >= strongHub*routers[0].power {
+	for strong < len(routers) && routers[strong].power >= minHubPower*routers[0].power {
 		strong++
 	}
-	return max(leastHubs, min(wanted, mostHubs, strong))
+	return max(minHubs, min(wanted, maxHubs, strong))
 }
 
-// chooseHub gives the hub to report to: one of the own zone, as traffic within a zone is
-// fast and free, that answered last time.
+// chooseHub returns the hub to report to: preferably one that answered last time and is in this
+// router's zone, as traffic within a zone is fast and free.
 func (f *Fleet) chooseHub(hubs []string, now time.Time) string {
 	best, bestScore := "", -1.0
 	for _, addr := range hubs {
 		p := f.peers[addr]
 		if p == nil {
-			continue // forgotten since the census
+			continue // forgotten since the snapshot
 		}
 		score := float64(xxhash.Sum64String(f.self.Peers+addr)) / (1 << 64)
 		if p.member.Zone == f.self.Zone {
-			score += sameZone
+			score += sameZoneScore
 		}
-		if addr == f.last.own {
-			score += present
+		if addr == f.role.ownHub {
+			score += currentHubScore
 		}
-		if p.failed == 0 || now.Sub(p.tried) > avoidFor {
-			score += answers
+		if p.failures == 0 || now.Sub(p.askedAt) > hubRetryAfter {
+			score += answeredScore
 		}
 		if score > bestScore {
 			best, bestScore = addr, score
@@ -155,9 +156,9 @@
 	return best
 }
 
-// What counts in the choice of a hub, beside a share of chance below 1.
+// Scores in the choice of a hub; a hash below 1 spreads the members over equal hubs.
 const (
-	sameZone = 1.0
-	present  = 0.9
-	answers  = 3.0
+	sameZoneScore   = 1.0
+	currentHubScore = 0.9
+	answeredScore   = 3.0
 )
--- a/pkg/fleet/hub_test.go
+++ b/pkg/fleet/hub_test.go
@@ -11,27 +11,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crowd is many routers that exchange without a network, on virtual time.
-type crowd struct {
+// testFleet is many routers that exchange without a network, on virtual time.
+type testFleet struct {
 	routers map[string]*router
 	down    map[string]bool
-	// exchanges counts those that each router began or answered.
+	// exchanges counts the exchanges that each router began or answered.
 	exchanges map[string]int
-	// sealed is whether messages are encoded as for the network, bytes counts theirs.
-	sealed bool
-	bytes  int
-	// requests is whether some come to each router all the time.
+	// encoded is whether messages are encoded as for the network; bytes counts their size.
+	encoded bool
+	bytes   int
+	// requests is whether requests arrive at each router all the time.
 	requests bool
 }
 
-func newCrowd(n int) *crowd {
-	c := &crowd{routers: make(map[string]*router), down: make(map[string]bool), exchanges: make(map[string]int)}
+func newTestFleet(n int) *testFleet {
+	c := &testFleet{routers: make(map[string]*router), down: make(map[string]bool), exchanges: make(map[string]int)}
 	var all []Member
 	for i := range n {
-		r := &router{heard: make(chan struct{}, 1)}
+		r := &router{reported: make(chan struct{}, 1)}
 		addr := fmt.Sprintf("10.0.0.%d:1", i)
 		m := Member{Name: addr, Peers: addr, Callers: addr, Zone: fmt.Sprint(i % 3), Started: 1, Power: 0.2 + float64(i%4)/10}
-		r.fleet = New(m, r, quiet)
+		r.fleet = New(m, r, discardLog)
 		r.fleet.SetSecret(secret)
 		r.loads = []InstanceLoad{{Instance: "common", Running: 1, Unread: 10}}
 		c.routers[addr] = r
@@ -43,9 +43,9 @@
 	return c
 }
 
-// play lets the routers exchange for d.
-func (c *crowd) play(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(exchangeEvery / 4) {
+// run lets the routers exchange for d.
+func (c *testFleet) run(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(exchangeInterval / 4) {
 		for _, addr := range slices.Sorted(maps.Keys(c.routers)) {
 			r := c.routers[addr]
 			if c.down[addr] {
@@ -54,7 +54,7 @@
 			if c.requests {
 				r.fleet.Use(time.Now())
 			}
-			for _, p := range r.fleet.due(time.Now()) {
+			for _, p := range r.fleet.duePeers(time.Now()) {
 				c.exchange(r, p)
 			}
 			r.fleet.publish(time.Now())
@@ -62,28 +62,28 @@
 	}
 }
 
-func (c *crowd) exchange(r *router, p *peer) {
-	p.asking, p.underWay = false, 0
+func (c *testFleet) exchange(r *router, p *peer) {
+	p.asking, p.inFlight = false, 0
 	to := p.member.Peers
 	c.exchanges[r.fleet.self.Peers]++
 	if c.down[to] {
 		r.fleet.mu.Lock()
-		r.fleet.miss(p, errNoAnswer)
+		r.fleet.recordFailure(p, errNoAnswer)
 		r.fleet.mu.Unlock()
 		return
 	}
 	c.exchanges[to]++
 	f := c.routers[to].fleet
 	p.rounds++
-	q := r.fleet.question(p, p.rounds%othersEvery == 1)
-	f.incoming(c.carry(&q), time.Now())
-	a := f.reply(f.peers[r.fleet.self.Peers], &q)
-	r.fleet.incoming(c.carry(&a), time.Now())
+	req := r.fleet.request(p, p.rounds%gossipEvery == 1)
+	f.handleReport(c.transmit(&req), time.Now())
+	resp := f.response(f.peers[r.fleet.self.Peers], &req)
+	r.fleet.handleReport(c.transmit(&resp), time.Now())
 }
 
-// carry gives a report as it comes over the network.
-func (c *crowd) carry(r *Report) *Report {
-	if !c.sealed {
+// transmit returns a report as it arrives over the network.
+func (c *testFleet) transmit(r *Report) *Report {
+	if !c.encoded {
 		return r
 	}
 	data, err := encode(r, secret)
@@ -91,14 +91,14 @@
 		panic(err)
 	}
 	c.bytes += len(data)
-	come := new(Report)
-	if err := decode(data, secret, come); err != nil {
+	received := new(Report)
+	if err := decode(data, secret, received); err != nil {
 		panic(err)
 	}
-	return come
+	return received
 }
 
-func (c *crowd) alive() []*router {
+func (c *testFleet) alive() []*router {
 	var list []*router
 	for addr, r := range c.routers {
 		if !c.down[addr] {
@@ -115,13 +115,13 @@
 func (e noAnswer) Error() string { return string(e) }
 
 // Forty-eight routers share many engines. Each must see the work of all others, though it
-// hears only of few; seen once too often or not at all, engines would be overfilled or
-// stand idle.
+// receives reports of only a few; work that is counted twice would leave engines idle, and work
+// that is not counted would overload them.
 func TestEachRouterSeesTheWorkOfAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 48
-		c := newCrowd(n)
-		c.play(4 * time.Second)
+		c := newTestFleet(n)
+		c.run(4 * time.Second)
 		for _, r := range c.alive() {
 			require.Equal(t, n-1, r.others[LifeKey{Instance: "common"}].Running, r.fleet.self.Peers)
 			require.Equal(t, (n-1)*10, r.others[LifeKey{Instance: "common"}].Unread)
@@ -132,41 +132,40 @@
 	})
 }
 
-// Each router that reports to each other one makes the fleet's exchanges grow with its
-// square, and small hosts spend their processor on them. Those that are short of it exchange
-// less.
+// If every router reported to every other one, the fleet's exchanges would grow with its square,
+// and small hosts would spend their CPU on them. Routers that are CPU-starved exchange less.
 func TestExchangesOfALargeFleetAreFew(t *testing.T) {
-	for _, of := range []struct {
-		late        bool
+	for _, tt := range []struct {
+		starved     bool
 		member, hub int
-	}{{late: true, member: 10, hub: 260}, {late: false, member: 26, hub: 700}} {
+	}{{starved: true, member: 10, hub: 260}, {starved: false, member: 26, hub: 700}} {
 		synctest.Test(t, func(t *testing.T) {
-			c := newCrowd(48)
+			c := newTestFleet(48)
 			for _, r := range c.routers {
-				r.late = of.late
+				r.starved = tt.starved
 			}
-			c.play(4 * time.Second)
+			c.run(4 * time.Second)
 			clear(c.exchanges)
-			c.play(5 * time.Second)
+			c.run(5 * time.Second)
 			for addr, r := range c.routers {
-				most := 5 * of.member
-				if r.fleet.last.hub {
-					most = 5 * of.hub
+				most := 5 * tt.member
+				if r.fleet.role.hub {
+					most = 5 * tt.hub
 				}
-				require.Less(t, c.exchanges[addr], most, "short of processor: %v, hub: %v", of.late, r.fleet.last.hub)
+				require.Less(t, c.exchanges[addr], most, "CPU-starved: %v, hub: %v", tt.starved, r.fleet.role.hub)
 			}
 		})
 	}
 }
 
-// Hosts are unequal. The exchanges of hubs must not fall on the smallest.
+// Hosts differ in CPU. The exchanges of hubs must not fall on the smallest ones.
 func TestHubsAreTheStrongestRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(48)
-		c.play(4 * time.Second)
+		c := newTestFleet(48)
+		c.run(4 * time.Second)
 		hubs := 0
 		for _, r := range c.alive() {
-			if r.fleet.last.hub {
+			if r.fleet.role.hub {
 				hubs++
 				require.InDelta(t, 0.5, r.fleet.self.Power, 1e-9)
 			}
@@ -175,21 +174,21 @@
 	})
 }
 
-// Half of the hubs die. Those that reported to them must find others at once, and the
-// work of the dead must be forgotten.
+// Half of the hubs die. Their members must find other hubs at once, and the work of the dead
+// routers must expire.
 func TestLostHubsAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(30)
-		c.play(4 * time.Second)
+		c := newTestFleet(30)
+		c.run(4 * time.Second)
 		lost := 0
 		for _, addr := range slices.Sorted(maps.Keys(c.routers)) {
-			if r := c.routers[addr]; r.fleet.last.hub && lost < 2 {
+			if r := c.routers[addr]; r.fleet.role.hub && lost < 2 {
 				c.down[addr] = true
 				lost++
 			}
 		}
 		require.Equal(t, 2, lost)
-		c.play(5 * time.Second)
+		c.run(5 * time.Second)
 		for _, r := range c.alive() {
 			require.Equal(t, 27, r.others[LifeKey{Instance: "common"}].Running, r.fleet.self.Peers)
 			require.Equal(t, 28, r.fleet.Count())
@@ -197,67 +196,68 @@
 	})
 }
 
-// A router of a large fleet is out of breath for two seconds and hears of nobody. Callers
-// that ask it must be told of the others all the same, or all of them come to it.
-func TestOthersAreNamedWhileNothingIsHeard(t *testing.T) {
+// A router of a large fleet gets no CPU for two seconds and receives no reports. It must still
+// refer callers to other routers, or all of those that ask it would use it.
+func TestStalledRouterStillListsOthersToCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(30)
-		c.play(4 * time.Second)
+		c := newTestFleet(30)
+		c.run(4 * time.Second)
 		time.Sleep(2 * time.Second)
 		f := c.routers["10.0.0.4:1"].fleet
 		require.Equal(t, 1, f.Count())
 		named, known := f.Named()
 		require.GreaterOrEqual(t, len(named), 28)
 		require.Equal(t, 29, known)
-		time.Sleep(namedFor)
+		time.Sleep(recentlyAliveTimeout)
 		named, _ = f.Named()
 		require.Empty(t, named)
 	})
 }
 
-// A prompt that one router had read must be known to all, wherever they report.
-func TestPromptsReadAreToldThroughHubs(t *testing.T) {
+// A prompt prefix that one router's request left in a cache must become known to all, whichever
+// hub they report to.
+func TestCachedPrefixesAreRelayedByHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(30)
-		c.play(4 * time.Second)
-		teller := c.routers["10.0.0.4:1"]
-		teller.reads = []PromptRead{{Key: 77, Instance: "i"}}
-		c.play(2 * time.Second)
+		c := newTestFleet(30)
+		c.run(4 * time.Second)
+		source := c.routers["10.0.0.4:1"]
+		source.newPrefixes = []PromptRead{{Key: 77, Instance: "i"}}
+		c.run(2 * time.Second)
 		for _, r := range c.alive() {
-			if r != teller {
-				require.Contains(t, r.learnt, PromptRead{Key: 77, Instance: "i"}, r.fleet.self.Peers)
+			if r != source {
+				require.Contains(t, r.received, PromptRead{Key: 77, Instance: "i"}, r.fleet.self.Peers)
 			}
 		}
 	})
 }
 
-// All routers but a few die at once. The rest must go back to telling each other.
+// All routers but a few die at once. The rest must return to direct exchanges.
 func TestAFleetThatShrinksNeedsNoHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(30)
-		c.play(4 * time.Second)
+		c := newTestFleet(30)
+		c.run(4 * time.Second)
 		for i := range 25 {
 			c.down[fmt.Sprintf("10.0.0.%d:1", i)] = true
 		}
-		c.play(5 * time.Second)
+		c.run(5 * time.Second)
 		for _, r := range c.alive() {
-			require.True(t, r.fleet.last.direct)
+			require.True(t, r.fleet.role.direct)
 			require.Equal(t, 4, r.others[LifeKey{Instance: "common"}].Running)
 		}
 	})
 }
 
-// An upstream starts again, and for a moment half of the routers still report work at its old
-// life. Hubs that add both up would make the new life seem full everywhere.
-func TestHubsAddUpLivesApart(t *testing.T) {
+// An upstream restarts, and for a moment half of the routers still report work in its old life.
+// Hubs that add up both lives would make the new one seem full everywhere.
+func TestHubsAddUpInstanceLivesSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(30)
+		c := newTestFleet(30)
 		i := 0
 		for _, r := range c.routers {
 			r.loads = []InstanceLoad{{Instance: "common", Life: uint32(1 + i%2), Running: 1}}
 			i++
 		}
-		c.play(4 * time.Second)
+		c.run(4 * time.Second)
 		for _, r := range c.alive() {
 			total := 0
 			for life := uint32(1); life <= 2; life++ {
--- a/pkg/fleet/idle.go
+++ b/pkg/fleet/idle.go
@@ -5,39 +5,39 @@
 // idleAfter is how long after its last work a router counts as idle.
 const idleAfter = time.Second
 
-// Use notes that a request came. A router that was idle exchanges at once, and one that had nothing
-// to decide since its last exchange sooner than it would have.
+// NoteRequest records that a request arrived. A router that was idle exchanges immediately, and
+// one that had no request since its last exchange does so sooner than planned.
 func (f *Fleet) Use(now time.Time) {
-	at := int64(now.Sub(f.born))
-	wasIdle := at-f.usedAt.Swap(at) >= int64(idleAfter)
-	if f.uses.Add(1) == 1 || wasIdle {
+	at := int64(now.Sub(f.startedAt))
+	wasIdle := at-f.lastWorkAt.Swap(at) >= int64(idleAfter)
+	if f.newRequests.Add(1) == 1 || wasIdle {
 		f.wakeUp()
 	}
 }
 
-// wakeUp has the duty look whom to ask.
+// wakeUp makes the exchanger check immediately which peers are due.
 func (f *Fleet) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
-	default: // it is awake
+	default: // a wake-up is already pending
 	}
 }
 
-// idle reports whether this router has no work.
-func (f *Fleet) idle(now time.Time) bool {
-	return int64(now.Sub(f.born))-f.usedAt.Load() >= int64(idleAfter)
+// isIdle reports whether this router has no work.
+func (f *Fleet) isIdle(now time.Time) bool {
+	return int64(now.Sub(f.startedAt))-f.lastWorkAt.Load() >= int64(idleAfter)
 }
 
-// observe notes the work that r, a report of this router alone, tells of, and the pause
-// until the next report.
-func (f *Fleet) observe(r *Report, now time.Time) {
+// recordWork notes whether r, a report of this router alone, shows work, and sets the interval
+// until the next report of an idle member.
+func (f *Fleet) recordWork(r *Report, now time.Time) {
 	for _, l := range r.Loads {
 		if l.Running > 0 {
-			f.usedAt.Store(int64(now.Sub(f.born)))
+			f.lastWorkAt.Store(int64(now.Sub(f.startedAt)))
 			return
 		}
 	}
-	if !f.last.direct && !f.last.hub && f.idle(now) {
-		r.PaceMs = memberIdle.Milliseconds()
+	if !f.role.direct && !f.role.hub && f.isIdle(now) {
+		r.PaceMs = memberIdleInterval.Milliseconds()
 	}
 }
--- a/pkg/fleet/join.go
+++ b/pkg/fleet/join.go
@@ -15,180 +15,181 @@
 	"github.com/flamingowind/flamingowind/pkg/backoff"
 )
 
-// Times of joining.
+// Intervals, timeouts and limits of joining.
 const (
-	// secretSize is the size of the fleet's secret, in bytes.
+	// secretSize is the size of the fleet's secret in bytes.
 	secretSize = 32
-	// joinTimeout bounds one call to the registry.
-	joinTimeout = 1500 * time.Millisecond
-	// firstTimeout bounds the first question for the secret. A store that answers at all
-	// answers within milliseconds; peers are asked next, and callers wait meanwhile.
+	// registryTimeout bounds one call to the registry.
+	registryTimeout = 1500 * time.Millisecond
+	// firstTimeout bounds the first call for the secret. A healthy store answers within
+	// milliseconds; after that peers are asked, and callers wait meanwhile.
 	firstTimeout = 300 * time.Millisecond
-	// listWait is how long others wait for the list of routers, as this router's place in the
-	// fleet follows from it.
+	// listWait is how long other tasks wait for the list of routers, as this router's rank
+	// follows from it.
 	listWait = 100 * time.Millisecond
-	// membersEvery is the pause between two looks at the list of members for each membersSize
-	// routers: peers name each other, so it only finds parts of the fleet that don't know of
-	// each other, and one router that looks is enough.
-	membersEvery = 15 * time.Second
-	membersSize  = 8
-	// lonelyEvery is that pause while nobody is heard of.
-	lonelyEvery = time.Second
-	// registered is the number of routers that the list names in a large fleet.
-	registered = 32
-	// strongHost is the processor, in cores, from which on a host registers among the first;
-	// strongTurn and lastTurn bound the turns of strong hosts and of all.
-	strongHost = 0.5
-	strongTurn = 250 * time.Millisecond
-	lastTurn   = time.Second
-	// goneAfter is how long a router on the list must have been missed to be taken off it,
-	// mostSwept how many are in one call.
-	goneAfter = 2 * time.Minute
-	mostSwept = 50
+	// listInterval is the time between two reads of the list for each listIntervalSize routers:
+	// peers name each other, so reading the list only finds parts of the fleet that do not know
+	// of each other, and one router that reads it is enough.
+	listInterval     = 15 * time.Second
+	listIntervalSize = 8
+	// aloneInterval is that time while no other router is alive.
+	aloneInterval = time.Second
+	// targetRegistered is the number of routers on the list in a large fleet.
+	targetRegistered = 32
+	// strongPower is the CPU in cores from which on a host registers among the first;
+	// maxStrongDelay and maxStartDelay bound the start delays of such hosts and of all others.
+	strongPower    = 0.5
+	maxStrongDelay = 250 * time.Millisecond
+	maxStartDelay  = time.Second
+	// removeAfter is how long a router must have been lost to be removed from the list,
+	// maxRemoved the number that one call removes.
+	removeAfter = 2 * time.Minute
+	maxRemoved  = 50
 )
 
-// Joiner finds the fleet through the registry.
+// Joiner finds the other routers through the registry.
 type Joiner struct {
 	fleet    *Fleet
 	duty     *Duty
 	registry Registry
 	// seeds are addresses of routers that may be alive.
 	seeds []string
-	// first is whether the whole fleet starts for the first time.
-	first bool
-	log   log.Interface
-	// asked is when the registry was first asked; nil before.
-	asked atomic.Pointer[time.Time]
-	// read is whether the registry was read.
-	read atomic.Bool
-	// listed is whether this router is on the registry's list.
+	// firstStart says that the whole fleet starts for the firstStart time.
+	firstStart bool
+	log        log.Interface
+	// askedAt is when the registry was first askedAt; nil before.
+	askedAt atomic.Pointer[time.Time]
+	// listRead is whether the list has been listRead.
+	listRead atomic.Bool
+	// listed is whether this router is on the list.
 	listed bool
-	// list are the routers on the list as last read.
+	// list holds the routers on the list as last read.
 	list []Member
-	// missing are routers on the list that are not alive.
-	missing missing
+	// missing tracks routers on the list that are not alive.
+	missing missingRouters
 }
 
-// NewJoiner returns the joiner of d's fleet.
-func NewJoiner(d *Duty, r Registry, seeds []string, first bool, l log.Interface) *Joiner {
-	return &Joiner{fleet: d.fleet, duty: d, registry: r, seeds: seeds, first: first, log: l, missing: make(missing)}
+// NewJoiner returns a joiner for e's fleet.
+func NewJoiner(d *Duty, r Registry, seeds []string, firstStart bool, l log.Interface) *Joiner {
+	return &Joiner{fleet: d.fleet, duty: d, registry: r, seeds: seeds, firstStart: firstStart, log: l, missing: make(missingRouters)}
 }
 
-// Settled reports whether the routers on the list are known, or the store doesn't answer at
-// once.
+// Settled reports whether the list has been read, or the store has had listWait to answer.
 func (j *Joiner) Settled() bool {
-	asked := j.asked.Load()
-	return j.read.Load() || asked != nil && time.Since(*asked) >= listWait
+	asked := j.askedAt.Load()
+	return j.listRead.Load() || asked != nil && time.Since(*asked) >= listWait
 }
 
-// Run joins and keeps looking for members until ctx ends.
+// Run joins the fleet and keeps reading the list until ctx ends.
 func (j *Joiner) Run(ctx context.Context) {
-	if j.first {
-		waiting.For(ctx, j.turn())
+	if j.firstStart {
+		waiting.For(ctx, j.startDelay())
 	}
-	asked := time.Now()
-	j.asked.Store(&asked)
-	if err := j.within(ctx, firstTimeout, j.join); err != nil {
-		j.log.WithError(err).WithFields(log.Fields{"event": "join_waits", "step": "secret"}).Warn("joining waits for the store")
-		j.until(ctx, "secret", j.join)
+	start := time.Now()
+	j.askedAt.Store(&start)
+	if err := j.withTimeout(ctx, firstTimeout, j.join); err != nil {
+		j.log.WithError(err).WithFields(log.Fields{"event": "join_waits", "step": "secret"}).Warn("waiting for the store to join the fleet")
+		j.retry(ctx, "secret", j.join)
 	}
-	if !j.read.Load() {
-		j.until(ctx, "members", j.look)
+	if !j.listRead.Load() {
+		j.retry(ctx, "members", j.readList)
 	}
 	j.register(ctx, len(j.list))
-	last := time.Now()
-	if waiting.For(ctx, presumeFor+aliveFor) {
-		j.register(ctx, j.fleet.aliveOf(j.list))
+	lastRead := time.Now()
+	if waiting.For(ctx, presumeAliveFor+aliveTimeout) {
+		j.register(ctx, j.fleet.countAlive(j.list))
 	}
-	for waiting.For(ctx, lonelyEvery) {
-		if j.fleet.Count() > 1 && time.Since(last) < membersEvery*time.Duration(1+j.fleet.Count()/membersSize) {
+	for waiting.For(ctx, aloneInterval) {
+		if j.fleet.Count() > 1 && time.Since(lastRead) < listInterval*time.Duration(1+j.fleet.Count()/listIntervalSize) {
 			continue
 		}
-		last = time.Now()
-		if err := j.call(ctx, j.look); err != nil {
-			j.log.WithError(err).WithField("event", "members_unread").Debug("list of routers can't be read")
+		lastRead = time.Now()
+		if err := j.callRegistry(ctx, j.readList); err != nil {
+			j.log.WithError(err).WithField("event", "members_unread").Debug("can't read the list of routers")
 			continue
 		}
-		j.register(ctx, j.fleet.aliveOf(j.list))
-		j.sweep(ctx, last)
+		j.register(ctx, j.fleet.countAlive(j.list))
+		j.removeLost(ctx, lastRead)
 	}
 }
 
-// turn is how long this router waits at the fleet's first start: seeds come first, then
+// startDelay is how long this router waits at the fleet's first start: seeds come first, then
 // strong hosts.
 //
-// Guard: all routers start at once and find an empty list, so all would register, and the
-// store would take them one by one for seconds.
-func (j *Joiner) turn() time.Duration {
+// All routers start at once and find an empty list. Without the delay all of them would register,
+// and the store would be busy for seconds with their transactions, which it applies one at a
+// time.
+func (j *Joiner) startDelay() time.Duration {
 	switch {
 	case slices.Contains(j.seeds, j.fleet.self.Peers):
 		return 0
-	case j.fleet.self.Power >= strongHost:
-		return time.Duration(rand.Float64() * float64(strongTurn))
+	case j.fleet.self.Power >= strongPower:
+		return time.Duration(rand.Float64() * float64(maxStrongDelay))
 	}
-	return strongTurn + time.Duration(rand.Float64()*float64(lastTurn-strongTurn))
+	return maxStrongDelay + time.Duration(rand.Float64()*float64(maxStartDelay-maxStrongDelay))
 }
 
-// register puts this router on the list when known, the routers on it that can be found, are few.
+// register puts this router on the list if fewer than targetRegistered known routers are on it.
 //
-// Newcomers need to find some routers; these name the others. So the store's rows and calls
-// don't grow with the fleet.
+// New routers need to find only some routers, which name the others. So the store's rows and
+// calls do not grow with the fleet.
 func (j *Joiner) register(ctx context.Context, known int) {
-	if j.listed || known >= registered {
+	if j.listed || known >= targetRegistered {
 		return
 	}
-	j.until(ctx, "register", func(ctx context.Context) error { return j.registry.Register(ctx, j.fleet.self) })
+	j.retry(ctx, "register", func(ctx context.Context) error { return j.registry.Register(ctx, j.fleet.self) })
 	j.listed = true
 }
 
-// until repeats step until it is done.
-func (j *Joiner) until(ctx context.Context, name string, step func(context.Context) error) {
+// retry repeats step with backoff retry it succeeds.
+func (j *Joiner) retry(ctx context.Context, name string, step func(context.Context) error) {
 	var failures backoff.Backoff
 	for tries := 1; ctx.Err() == nil; tries++ {
-		err := j.call(ctx, step)
+		err := j.callRegistry(ctx, step)
 		if err == nil {
-			j.log.WithFields(log.Fields{"event": "join", "step": name, "tries": tries}).Info("step of joining is done")
+			j.log.WithFields(log.Fields{"event": "join", "step": name, "tries": tries}).Info("join step done")
 			return
 		}
 		if tries == 1 {
-			j.log.WithError(err).WithFields(log.Fields{"event": "join_waits", "step": name}).Warn("joining waits for the store")
+			j.log.WithError(err).WithFields(log.Fields{"event": "join_waits", "step": name}).Warn("waiting for the store to join the fleet")
 		}
 		waiting.For(ctx, failures.Failed(j.fleet.Count()))
 	}
 }
 
-func (j *Joiner) call(ctx context.Context, step func(context.Context) error) error {
-	return j.within(ctx, joinTimeout, step)
+func (j *Joiner) callRegistry(ctx context.Context, step func(context.Context) error) error {
+	return j.withTimeout(ctx, registryTimeout, step)
 }
 
-func (j *Joiner) within(ctx context.Context, limit time.Duration, step func(context.Context) error) error {
+func (j *Joiner) withTimeout(ctx context.Context, limit time.Duration, step func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return step(ctx)
 }
 
-// join learns the secret and the routers on the list.
+// join obtains the secret and the list of routers.
 func (j *Joiner) join(ctx context.Context) error {
 	secret, list, err := j.registry.Read(ctx)
 	if err != nil {
-		if secret = j.fromPeers(); secret == nil {
+		if secret = j.secretFromSeeds(); secret == nil {
 			return errors.Trace(err)
 		}
 		j.fleet.SetSecret(secret)
 		return nil
 	}
 	if secret == nil {
-		if secret, err = j.found(ctx); err != nil {
+		if secret, err = j.createSecret(ctx); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	j.fleet.SetSecret(secret)
-	j.meet(list)
+	j.addList(list)
 	return nil
 }
 
-// found proposes a secret for a fleet that has none, and gives the one that it has then.
-func (j *Joiner) found(ctx context.Context) ([]byte, error) {
+// createSecret proposes a secret for a fleet that has none, and returns the one that the fleet
+// then has.
+func (j *Joiner) createSecret(ctx context.Context) ([]byte, error) {
 	proposal := make([]byte, secretSize)
 	if _, err := crand.Read(proposal); err != nil {
 		return nil, errors.Trace(err)
@@ -197,27 +198,27 @@
 	return secret, errors.Trace(err)
 }
 
-// meet takes the list of routers.
-func (j *Joiner) meet(list []Member) {
+// addList adds the routers on the list to the fleet.
+func (j *Joiner) addList(list []Member) {
 	j.list = list
 	j.listed = slices.ContainsFunc(list, func(m Member) bool {
 		return m.Peers == j.fleet.self.Peers && m.Name == j.fleet.self.Name && m.Callers == j.fleet.self.Callers
 	})
 	j.fleet.Meet(list)
-	j.read.Store(true)
+	j.listRead.Store(true)
 }
 
-// fromPeers asks the seeds for the secret; nil when none gives it. They are asked at once, as most
-// may be gone.
-func (j *Joiner) fromPeers() []byte {
-	ctx, cancel := context.WithTimeout(context.Background(), joinTimeout)
+// secretFromSeeds asks all seeds for the secret in parallel, as most may be gone; nil when none
+// returns it.
+func (j *Joiner) secretFromSeeds() []byte {
+	ctx, cancel := context.WithTimeout(context.Background(), registryTimeout)
 	defer cancel()
 	answers := make(chan []byte, len(j.seeds))
 	asked := 0
 	for _, addr := range j.seeds {
 		if addr != j.fleet.self.Peers {
 			asked++
-			go func() { answers <- j.fromPeer(ctx, addr) }()
+			go func() { answers <- j.secretFromSeed(ctx, addr) }()
 		}
 	}
 	for range asked {
@@ -228,36 +229,36 @@
 	return nil
 }
 
-// fromPeer asks one seed for the secret.
-func (j *Joiner) fromPeer(ctx context.Context, addr string) []byte {
+// secretFromSeed asks one seed for the secret.
+func (j *Joiner) secretFromSeed(ctx context.Context, addr string) []byte {
 	secret, err := j.duty.Secret(ctx, addr)
 	if err != nil {
-		j.log.WithError(err).WithFields(log.Fields{"event": "seed_gives_nothing", "addr": addr}).Info("seed gives no secret")
+		j.log.WithError(err).WithFields(log.Fields{"event": "seed_gives_nothing", "addr": addr}).Info("seed did not return the secret")
 		return nil
 	}
 	return secret
 }
 
-func (j *Joiner) look(ctx context.Context) error {
+func (j *Joiner) readList(ctx context.Context) error {
 	_, list, err := j.registry.Read(ctx)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	j.meet(list)
+	j.addList(list)
 	return nil
 }
 
-// sweep takes routers off the list that this one, the first of the fleet, has missed for
-// long. A router that leaves stays on it: most start again at the same address.
-func (j *Joiner) sweep(ctx context.Context, now time.Time) {
-	gone := j.missing.since(j.list, j.fleet.isAlive, now.Add(-goneAfter), now)
+// removeLost removes long-lost routers from the list, if this router has rank 0. Routers that
+// shut down are not removed at once: most start again at the same address.
+func (j *Joiner) removeLost(ctx context.Context, now time.Time) {
+	gone := j.missing.missingSince(j.list, j.fleet.isAlive, now.Add(-removeAfter), now)
 	if len(gone) == 0 || j.fleet.Rank() > 0 {
 		return
 	}
-	gone = gone[:min(len(gone), mostSwept)]
-	if err := j.call(ctx, func(ctx context.Context) error { return j.registry.Remove(ctx, gone) }); err != nil {
-		j.log.WithError(err).WithField("event", "still_listed").Info("lost routers stay on the list")
+	gone = gone[:min(len(gone), maxRemoved)]
+	if err := j.callRegistry(ctx, func(ctx context.Context) error { return j.registry.Remove(ctx, gone) }); err != nil {
+		j.log.WithError(err).WithField("event", "still_listed").Info("can't remove lost routers from the list")
 		return
 	}
-	j.log.WithFields(log.Fields{"event": "list_swept", "routers": len(gone)}).Info("lost routers are off the list")
+	j.log.WithFields(log.Fields{"event": "list_swept", "routers": len(gone)}).Info("removed lost routers from the list")
 }
--- a/pkg/fleet/join_test.go
+++ b/pkg/fleet/join_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeRegistry is a list of routers that counts the calls to it.
+// fakeRegistry is an in-memory registry that counts the calls to it.
 type fakeRegistry struct {
 	mu      sync.Mutex
 	secret  []byte
@@ -32,7 +32,7 @@
 	return ok
 }
 
-// counts gives the calls so far and the length of the list.
+// counts returns the calls so far and the length of the list.
 func (r *fakeRegistry) counts() (reads, writes, listed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,20 +81,20 @@
 	return nil
 }
 
-// starting is a router that joins.
-func starting(i int, first bool, registry Registry) (*router, *Joiner) {
-	r := &router{heard: make(chan struct{}, 1)}
+// newJoining returns a router that is about to join.
+func newJoining(i int, first bool, registry Registry) (*router, *Joiner) {
+	r := &router{reported: make(chan struct{}, 1)}
 	addr := fmt.Sprintf("10.0.0.%d:1", i)
 	power := 0.2
 	if i%20 == 0 {
 		power = 0.8
 	}
-	r.fleet = New(Member{Name: addr, Peers: addr, Callers: addr, Started: 1, Power: power}, r, quiet)
-	return r, NewJoiner(NewDuty(r.fleet), registry, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, first, quiet)
+	r.fleet = New(Member{Name: addr, Peers: addr, Callers: addr, Started: 1, Power: power}, r, discardLog)
+	return r, NewJoiner(NewDuty(r.fleet), registry, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, first, discardLog)
 }
 
-// 295 routers start at once. Each made two transactions and refused ones came again, 5,295
-// calls in the first seconds.
+// 295 routers start at once. If each made two transactions and repeated the refused ones, the
+// store would get 5,295 calls in the first seconds.
 func TestAFleetThatStartsCallsTheStoreLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 295
@@ -103,41 +103,41 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for i := range n {
-			r, j := starting(i, true, registry)
+			r, j := newJoining(i, true, registry)
 			all = append(all, r)
 			go j.Run(ctx)
 		}
-		time.Sleep(presumeFor)
+		time.Sleep(presumeAliveFor)
 		synctest.Wait()
 		for _, r := range all {
 			require.Equal(t, registry.secret, r.fleet.Secret())
 		}
 		reads, writes, listed := registry.counts()
 		require.LessOrEqual(t, reads, n)
-		require.LessOrEqual(t, writes, 2*registered)
-		require.GreaterOrEqual(t, listed, registered)
+		require.LessOrEqual(t, writes, 2*targetRegistered)
+		require.GreaterOrEqual(t, listed, targetRegistered)
 	})
 }
 
-// All routers of a running fleet are killed at once and start again.
+// All routers of a running fleet are killed at once and restart.
 func TestAFleetThatStartsAgainReadsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 295
 		registry := newFakeRegistry()
 		registry.secret = secret
-		for i := range registered {
-			r, _ := starting(i, false, registry)
+		for i := range targetRegistered {
+			r, _ := newJoining(i, false, registry)
 			registry.members[r.fleet.self.Peers] = r.fleet.self
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var all []*router
 		for i := range n {
-			r, j := starting(i, false, registry)
+			r, j := newJoining(i, false, registry)
 			all = append(all, r)
 			go j.Run(ctx)
 		}
-		time.Sleep(presumeFor / 2)
+		time.Sleep(presumeAliveFor / 2)
 		synctest.Wait()
 		reads, writes, _ := registry.counts()
 		require.Equal(t, n, reads)
@@ -148,41 +148,41 @@
 	})
 }
 
-// The routers on the list are all gone. Newcomers that leave it as it is never find each
+// The routers on the list are all gone. New routers that do not register would never find each
 // other.
 func TestNewcomersRegisterBesideDeadRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		registry := newFakeRegistry()
 		registry.secret = secret
-		for i := range registered {
-			r, _ := starting(100+i, false, registry)
+		for i := range targetRegistered {
+			r, _ := newJoining(100+i, false, registry)
 			registry.members[r.fleet.self.Peers] = r.fleet.self
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		r, j := starting(1, false, registry)
+		r, j := newJoining(1, false, registry)
 		go j.Run(ctx)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.False(t, registry.has(r.fleet.self.Peers))
-		time.Sleep(presumeFor + aliveFor)
+		time.Sleep(presumeAliveFor + aliveTimeout)
 		synctest.Wait()
 		require.True(t, registry.has(r.fleet.self.Peers))
 	})
 }
 
-// Routers that ended for good stay on the list, and each newcomer would ask at their addresses.
+// Routers that ended for good stay on the list, and each new router would try to reach them.
 func TestLostRoutersAreTakenOffTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		registry := newFakeRegistry()
 		registry.secret = secret
-		lost, _ := starting(9, false, registry)
+		lost, _ := newJoining(9, false, registry)
 		registry.members[lost.fleet.self.Peers] = lost.fleet.self
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		_, j := starting(1, false, registry)
+		_, j := newJoining(1, false, registry)
 		go j.Run(ctx)
-		time.Sleep(goneAfter - 10*time.Second)
+		time.Sleep(removeAfter - 10*time.Second)
 		synctest.Wait()
 		require.True(t, registry.has(lost.fleet.self.Peers))
 		time.Sleep(time.Minute)
@@ -192,46 +192,46 @@
 	})
 }
 
-// A router starts beside hundreds that are on the list. Taken for lost before they are heard
-// of, they would make it exchange with each of them.
+// A router starts and finds hundreds of routers on the list. If it considered them lost until
+// their first report, it would exchange with each of them.
 func TestANewcomerPresumesThatListedRoutersAreAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list []Member
 		for i := range 200 {
-			r, _ := starting(i, false, nil)
+			r, _ := newJoining(i, false, nil)
 			list = append(list, r.fleet.self)
 		}
-		r, _ := starting(200, false, nil)
+		r, _ := newJoining(200, false, nil)
 		r.fleet.SetSecret(secret)
 		r.fleet.Meet(list)
 		require.Equal(t, 201, r.fleet.Count())
-		asked := r.fleet.due(time.Now())
-		require.Less(t, len(asked), mostHubs)
+		asked := r.fleet.duePeers(time.Now())
+		require.Less(t, len(asked), maxHubs)
 	})
 }
 
-// A member without work is asked for nothing, and hears of the fleet all the same.
+// An idle member exchanges rarely, and still receives the state of the fleet.
 func TestIdleMembersExchangeLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 48
-		c := newCrowd(n)
+		c := newTestFleet(n)
 		for _, r := range c.routers {
 			r.loads = nil
 		}
-		c.play(4 * time.Second)
+		c.run(4 * time.Second)
 		clear(c.exchanges)
-		c.play(4 * time.Second)
+		c.run(4 * time.Second)
 		for addr, r := range c.routers {
 			require.Equal(t, n, r.fleet.Count())
 			require.Len(t, r.readyPeers(), n-1)
-			if !r.fleet.last.hub {
+			if !r.fleet.role.hub {
 				require.LessOrEqual(t, c.exchanges[addr], 10, "in 4 s")
 			}
 		}
 		idle := c.member("")
-		time.Sleep(memberQuick)
+		time.Sleep(memberFastInterval)
 		idle.fleet.Use(time.Now())
 		require.Len(t, idle.fleet.wake, 1)
-		require.NotEmpty(t, idle.fleet.due(time.Now()), "work that comes makes it ask at once")
+		require.NotEmpty(t, idle.fleet.duePeers(time.Now()), "a request makes it exchange immediately")
 	})
 }
--- a/pkg/fleet/local.go
+++ b/pkg/fleet/local.go
@@ -6,31 +6,31 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Local is what this router tells and learns; the parts that decide implement it.
+// Local is the part of this router that provides its own state and uses that of the others.
 type Local interface {
-	// Describe fills in what a report says of this router's work.
+	// Describe fills in this router's own state and work.
 	Describe(r *Report)
-	// Reads gives prompts newly read since the last call.
+	// NewPrefixes returns the prefixes cached since the last call.
 	Reads() []PromptRead
-	// Learn takes what another router's engines have read.
+	// AddPrefixes adds prefixes that other routers' requests have left in engines' caches.
 	Learn(list []PromptRead)
-	// Suspects gives contents that ran on upstreams which broke off; Suspect takes those of
-	// others.
+	// Suspects returns the contents of requests that ran on upstreams which crashed;
+	// MergeSuspects adds those of another router.
 	Suspects() []wire.Suspicion
 	Suspect(list []wire.Suspicion)
-	// Work takes what all other routers do and have seen.
+	// SetOthers sets the totals of all other routers' work.
 	Work(w Work)
-	// Evacuated takes the evacuated zones that another router knows of, and those that were
-	// restored lately.
+	// MergeEvacuated merges the evacuated zones that another router knows of, and those restored
+	// recently.
 	Evacuated(peer Member, zones []string, revision int64, restored []RestoredZone)
-	// StoreHeard is told of a span in which another router heard the operators' store without a
-	// break.
+	// StoreContacted reports a span in which another router was in uninterrupted contact with the
+	// operators' store.
 	StoreHeard(since, until time.Time)
-	// Behind is told by a report which configuration and list a peer has, and that its list was
-	// current at asOf.
+	// PeerVersions reports which configuration and list a peer has, and that its list was current
+	// at asOf.
 	Behind(r *Report, asOf time.Time)
-	// Catalog gives what is newer than the ask, Take takes what a peer gave from a list that was
-	// current at asOf.
+	// Catalog returns whatever is newer than the request describes, ApplyUpdate applies a peer's
+	// update, whose list was current at asOf.
 	Catalog(ask CatalogAsk) CatalogGiven
 	Take(peer Member, given *CatalogGiven, asOf time.Time)
 }
--- a/pkg/fleet/missing.go
+++ b/pkg/fleet/missing.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// missing holds since when routers on the list are missed, by address.
-type missing map[string]time.Time
+// missingRouters holds since when routers on the list have been missing, by address.
+type missingRouters map[string]time.Time
 
-// since gives the routers of list that have been missed since before.
-func (m missing) since(list []Member, alive func(addr string) bool, before, now time.Time) []Member {
-	listed := make(map[string]bool, len(list))
+// missingSince returns the routers of list that have been missing since cutoff or longer.
+func (m missingRouters) missingSince(list []Member, alive func(addr string) bool, cutoff, now time.Time) []Member {
+	onList := make(map[string]bool, len(list))
 	var gone []Member
-	for _, one := range list {
-		listed[one.Peers] = true
-		if alive(one.Peers) {
-			delete(m, one.Peers)
+	for _, member := range list {
+		onList[member.Peers] = true
+		if alive(member.Peers) {
+			delete(m, member.Peers)
 			continue
 		}
-		if m[one.Peers].IsZero() {
-			m[one.Peers] = now
+		if m[member.Peers].IsZero() {
+			m[member.Peers] = now
 		}
-		if !m[one.Peers].After(before) {
-			gone = append(gone, one)
+		if !m[member.Peers].After(cutoff) {
+			gone = append(gone, member)
 		}
 	}
 	for addr := range m {
-		if !listed[addr] {
+		if !onList[addr] {
 			delete(m, addr)
 		}
 	}
--- a/pkg/fleet/peer.go
+++ b/pkg/fleet/peer.go
@@ -4,106 +4,111 @@
 
 // peer is what is known of another router.
 type peer struct {
-	member   Member
-	strength ranked
-	report   *Report
-	// counted is the report that the newest sum holds, nil for none, countedAge its age then.
-	counted    *Report
-	countedAge time.Duration
-	// met is when the peer was first heard of from anybody.
-	met time.Time
-	// heard is when the newest report came; zero before the first.
-	heard time.Time
-	// tried is when an exchange was last begun, asking while it runs and isn't overdue, underWay
-	// counts all that run, and failed those in a row that were overdue or got no answer.
-	tried    time.Time
+	member  Member
+	rankKey rankKey
+	report  *Report
+	// inSum is the report that the newest sum includes, nil for none, inSumAge its age at that
+	// time.
+	inSum    *Report
+	inSumAge time.Duration
+	// addedAt is when the peer was first learnt of.
+	addedAt time.Time
+	// reportAt is when its newest report arrived; zero before the first.
+	reportAt time.Time
+	// askedAt is when an exchange was last begun. asking is set while it runs and is not overdue.
+	// inFlight counts all exchanges that run, and failures those in a row that were overdue or
+	// failed.
+	askedAt  time.Time
 	asking   bool
-	underWay int
-	failed   int
+	inFlight int
+	failures int
 	// rounds counts the exchanges begun with it.
 	rounds int
-	// have is the number of the last entry of its log that came here, haveOf the log's scope.
-	have   uint64
-	haveOf Scope
-	// acked is the number of the last entry of our log that it has, ackedOf the log's scope.
-	acked   uint64
-	ackedOf Scope
-	// joined is when the peer last made us its hub.
-	joined time.Time
-	// pace is the pause until the peer's next report, as it said.
-	pace time.Duration
-	// vouched is when a hub last named the peer as alive and vouchedFor how long that holds,
-	// ready whether callers may be sent
-	// to it as far as is known, pressed whether it gets too little processor.
-	vouched    time.Time
-	vouchedFor time.Duration
-	ready      bool
-	pressed    bool
-	// config is the version of its configuration, as far as is known.
+	// receivedSeq is the number of the last entry received from its prefix log, receivedScope the
+	// log's scope.
+	receivedSeq   uint64
+	receivedScope Scope
+	// ackedSeq is the number of the last entry of our prefix log that it has, ackedScope the
+	// log's scope.
+	ackedSeq   uint64
+	ackedScope Scope
+	// joinedAt is when the peer last used this router as its hub.
+	joinedAt time.Time
+	// reportInterval is the time until the peer's next report, as it announced.
+	reportInterval time.Duration
+	// listedAt is when a hub last listed the peer as alive and listedFor how long that holds.
+	// ready says that callers may be sent to it, starved that it gets too little CPU, both as far
+	// as is known.
+	listedAt  time.Time
+	listedFor time.Duration
+	ready     bool
+	starved   bool
+	// config is its configuration version, as far as is known.
 	config int64
-	// entries are the routers that the peer, a hub, last named, under digest.
-	entries []Entry
+	// members are the routers that the peer, a hub, last listed, digest their digest.
+	members []Entry
 	digest  uint64
-	// lacks is what the peer was first seen to lack at lacksSince, gaveAt when it was last given it.
-	lacks              newest
-	lacksSince, gaveAt time.Time
-	// clock is the newest clock that the peer told in its present life.
+	// lacks is what the peer lacks, known since lacksSince, and pushedAt when that was last
+	// pushed to it.
+	lacks                versions
+	lacksSince, pushedAt time.Time
+	// clock is the newest clock value that the peer has sent in its current life.
 	clock int64
-	// theirDigest is that of the list which the peer has from us.
-	theirDigest uint64
+	// ackedDigest is the digest of the member list that the peer has from this router.
+	ackedDigest uint64
 }
 
-// heardLately reports whether the peer itself was heard of lately.
-func (p *peer) heardLately(now time.Time) bool {
-	return !p.heard.IsZero() && now.Sub(p.heard) < aliveFor
+// reportedRecently reports whether a report of the peer itself arrived within aliveTimeout.
+func (p *peer) reportedRecently(now time.Time) bool {
+	return !p.reportAt.IsZero() && now.Sub(p.reportAt) < aliveTimeout
 }
 
-// alive reports whether the peer was heard of lately, by us or by a hub.
+// alive reports whether the peer has sent a report recently or is on a hub's current member list.
 func (p *peer) alive(now time.Time) bool {
-	return p.heardLately(now) || !p.vouched.IsZero() && now.Sub(p.vouched) < p.vouchedFor
+	return p.reportedRecently(now) || !p.listedAt.IsZero() && now.Sub(p.listedAt) < p.listedFor
 }
 
-// everAlive reports whether the peer was ever heard of, by us or by a hub.
-func (p *peer) everAlive() bool { return !p.heard.IsZero() || !p.vouched.IsZero() }
+// everAlive reports whether the peer has ever sent a report or been on a hub's member list.
+func (p *peer) everAlive() bool { return !p.reportAt.IsZero() || !p.listedAt.IsZero() }
 
-// counts reports whether the peer's newest report tells of work that no other report
-// tells of.
+// countsInSum reports whether the peer's newest report describes work that no other report
+// includes.
 //
-// Guard: a router that reports to another hub now, or whose hub died and is replaced, would
-// be counted twice for as long as the old report lives, and engines would seem full. The
-// reports through hubs come so often that they need to live half as long as others.
-func (p *peer) counts(now time.Time) bool {
+// The work of a router that now reports to another hub, or whose hub died and was replaced, would
+// be counted twice until the old report expires, and engines would seem full. Reports through
+// hubs are so frequent that half the usual lifetime is enough for them.
+func (p *peer) countsInSum(now time.Time) bool {
 	switch {
 	case p.report.Scope == ScopeGroup:
-		return p.failed == 0 && now.Sub(p.heard) < groupLife
+		return p.failures == 0 && now.Sub(p.reportAt) < groupTimeout
 	case p.report.Scope == ScopeAll:
 		return false
-	case !p.joined.IsZero():
+	case !p.joinedAt.IsZero():
 		return p.inGroup(now)
 	}
-	return p.heardLately(now)
+	return p.reportedRecently(now)
 }
 
-// inGroup reports whether the peer counts on us to tell others of its work.
+// inGroup reports whether the peer relies on this router, its hub, to report its work to others.
 func (p *peer) inGroup(now time.Time) bool {
-	return !p.joined.IsZero() && now.Sub(p.joined) < groupLife+p.pace
+	return !p.joinedAt.IsZero() && now.Sub(p.joinedAt) < groupTimeout+p.reportInterval
 }
 
-// outdated reports whether r comes from an earlier life than the peer's newest report.
+// isOutdated reports whether r comes from an earlier life than the peer's newest report.
 //
-// Guard: a late report of the earlier life would bring back work that ended with it. Lives
-// are told apart by the host's time of day, which may jump back: once the later life has
-// been silent, the one that speaks is the newer, whatever its clock says.
+// A delayed report of the earlier life would bring back work that ended with it. Lives are
+// ordered by the host's wall clock, which may jump back: once the later life has been silent,
+// whichever life sends reports is the newer one, whatever its start time.
 //
-// The same holds for a report that an overdue exchange brings after a newer one.
-func (p *peer) outdated(r *Report, now time.Time) bool {
-	if !p.heardLately(now) {
+// In the same life, a report that an overdue exchange delivers after a newer one is outdated as well.
+func (p *peer) isOutdated(r *Report, now time.Time) bool {
+	if !p.reportedRecently(now) {
 		return false
 	}
 	return r.From.Started < p.report.From.Started || r.From.Started == p.report.From.Started && r.Clock < p.clock
 }
 
-// entry is the peer as it is named to others.
-func (p *peer) entry() Entry {
-	return Entry{Member: p.member, Ready: p.ready, Pressed: p.pressed, Config: p.config}
+// state is the peer as it appears on the member lists that this router sends.
+func (p *peer) state() Entry {
+	return Entry{Member: p.member, Ready: p.ready, Pressed: p.starved, Config: p.config}
 }
--- a/pkg/fleet/readlog_test.go
+++ b/pkg/fleet/prefixlog_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestReadLogGivesEachEntryInOrder(t *testing.T) {
+func TestPrefixLogReturnsEntriesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l readLog
+		var l prefixLog
 		have, next, want := uint64(0), uint64(0), uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			list := make([]PromptRead, rapid.IntRange(0, 300).Draw(t, "added"))
@@ -24,7 +24,7 @@
 			got, last := l.after(have)
 			for _, r := range got {
 				if r.Key <= want {
-					t.Fatalf("entry %d comes after %d", r.Key, want)
+					t.Fatalf("entry %d follows entry %d", r.Key, want)
 				}
 				want = r.Key
 			}
@@ -38,17 +38,17 @@
 			want, have = got[len(got)-1].Key, last
 		}
 		if next > 0 && want != next {
-			t.Fatalf("the last entry is %d, not %d", want, next)
+			t.Fatalf("the last entry is %d, want %d", want, next)
 		}
 	})
 }
 
-func TestReadLogForgetsTheOldest(t *testing.T) {
-	var l readLog
-	l.add(make([]PromptRead, readLogSize+10))
+func TestPrefixLogDropsTheOldest(t *testing.T) {
+	var l prefixLog
+	l.add(make([]PromptRead, prefixLogSize+10))
 	got, last := l.after(0)
-	require.Len(t, got, maxReads)
-	require.EqualValues(t, 10+maxReads, last)
+	require.Len(t, got, maxPrefixes)
+	require.EqualValues(t, 10+maxPrefixes, last)
 }
 
 func FuzzDecode(f *testing.F) {
@@ -57,6 +57,6 @@
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		var r Report
-		_ = decode(append(seal(data, secret), data...), secret, &r)
+		_ = decode(append(computeMAC(data, secret), data...), secret, &r)
 	})
 }
--- a/pkg/fleet/publish.go
+++ b/pkg/fleet/publish.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// published gives the work of the others for this router's own use, and whether it is told
-// now: after each report where few come, and a hub once for all that came since.
-func (f *Fleet) published(now time.Time) (work Work, publish bool) {
-	if f.last.hub && now.Sub(f.publishedAt) < sumEvery {
-		f.unpublished = true
+// othersToPublish returns the totals of the other routers for this router's own use, and whether
+// to publish them now: after each report where few arrive, while a hub batches the reports of
+// sumMaxAge.
+func (f *Fleet) othersToPublish(now time.Time) (totals Work, publish bool) {
+	if f.role.hub && now.Sub(f.publishedAt) < sumMaxAge {
+		f.publishDue = true
 		return Work{}, false
 	}
-	f.unpublished, f.publishedAt = false, now
-	return f.others(now), true
+	f.publishDue, f.publishedAt = false, now
+	return f.othersTotals(now), true
 }
 
-// publish tells this router of work that was held back.
+// publish passes totals on to Local that are still due.
 func (f *Fleet) publish(now time.Time) {
 	f.mu.Lock()
-	var total Work
-	publish := f.unpublished
+	var totals Work
+	publish := f.publishDue
 	if publish {
-		total, publish = f.published(now)
+		totals, publish = f.othersToPublish(now)
 	}
 	f.mu.Unlock()
 	if publish {
-		f.local.Work(total)
+		f.local.Work(totals)
 	}
 }
--- a/pkg/fleet/publish_test.go
+++ b/pkg/fleet/publish_test.go
@@ -8,22 +8,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hub answers hundreds of questions a second, and each answer adds up what it has heard. If
-// that counted as telling the hub itself, it would go by old loads as long as it is busy.
-func TestABusyHubIsToldOfOthersWork(t *testing.T) {
+// A hub answers hundreds of requests per second, and each answer adds up all reports. If that
+// counted as publishing to the hub itself, it would use old loads as long as it is busy.
+func TestABusyHubPublishesOthersWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := New(Member{Name: "h", Peers: "h"}, &router{heard: make(chan struct{}, 1)}, quiet)
-		f.last = role{hub: true}
-		told := 0
+		f := New(Member{Name: "h", Peers: "h"}, &router{reported: make(chan struct{}, 1)}, discardLog)
+		f.role = role{hub: true}
+		published := 0
 		for range 500 {
 			f.mu.Lock()
-			f.heard(time.Now())
-			if _, publish := f.published(time.Now()); publish {
-				told++
+			f.sumReports(time.Now())
+			if _, publish := f.othersToPublish(time.Now()); publish {
+				published++
 			}
 			f.mu.Unlock()
 			time.Sleep(2 * time.Millisecond)
 		}
-		require.InDelta(t, time.Second/sumEvery, told, 2)
+		require.InDelta(t, time.Second/sumMaxAge, published, 2)
 	})
 }
--- a/pkg/fleet/report.go
+++ b/pkg/fleet/report.go
@@ -2,139 +2,141 @@
 
 import "github.com/flamingowind/flamingowind/pkg/wire"
 
-// Report is what a router tells another about itself.
+// Report is the state that a router sends to another.
 type Report struct {
 	From Member `cbor:"1,keyasint"`
-	// Ready is whether callers should be sent to the router.
+	// Ready says that callers may be sent to the router.
 	Ready bool `cbor:"2,keyasint,omitempty"`
-	// Loads is the router's work in progress.
+	// Loads is the work in flight.
 	Loads []InstanceLoad `cbor:"3,keyasint,omitempty"`
-	// Uses is what organisations ask of the router and get from it.
+	// Uses is the traffic that organisations request and receive.
 	Uses []Use `cbor:"4,keyasint,omitempty"`
-	// Read are the newest entries of the router's log of prompts read, up to number Last.
+	// Prefixes are the newest entries of the sender's prefix log, up to number LastSeq.
 	Read []PromptRead `cbor:"5,keyasint,omitempty"`
 	Last uint64       `cbor:"6,keyasint,omitempty"`
-	// Have is the number of the last entry of the receiver's log that the sender has,
-	// and HaveOf the life of the receiver that it counts in.
+	// AckSeq is the number of the last entry of the receiver's prefix log that the sender has,
+	// and AckLife the life of the receiver in which it was numbered.
 	Have   uint64 `cbor:"7,keyasint,omitempty"`
 	HaveOf int64  `cbor:"8,keyasint,omitempty"`
-	// Others are routers that the sender has heard of lately; AskOthers asks for those of
-	// the receiver.
+	// Others are other routers that are alive; AskOthers asks for those that the receiver knows.
 	Others    []Member `cbor:"9,keyasint,omitempty"`
 	AskOthers bool     `cbor:"13,keyasint,omitempty"`
-	// Config is the version of the configuration in force, Instances the revision of the
-	// list of upstreams.
+	// Config is the version of the configuration in use, Instances the revision of the list of
+	// upstreams.
 	Config    int64 `cbor:"10,keyasint,omitempty"`
 	Instances int64 `cbor:"11,keyasint,omitempty"`
 	// ListAgeMs is how long ago that list was last known to be current, in milliseconds.
 	ListAgeMs int64 `cbor:"21,keyasint,omitempty"`
-	// Suspects are contents that ran on upstreams which broke off; named together with
+	// Suspects are contents of requests that ran on upstreams which crashed; sent together with
 	// Others.
 	Suspects []wire.Suspicion `cbor:"12,keyasint,omitempty"`
-	// Pauses are what pauses of streams say of the engines of services.
+	// Pauses are the pauses of streams at the engines of services.
 	Pauses []Pauses `cbor:"23,keyasint,omitempty"`
-	// Pressed is whether the router gets too little processor for what it is asked.
+	// CPUStarved says that the router gets too little CPU for its requests.
 	Pressed bool `cbor:"22,keyasint,omitempty"`
-	// Inflows are what the routers give to the instances of services.
+	// Inflows are the rates at which the routers assign work to the instances of services.
 	Inflows []Inflow `cbor:"24,keyasint,omitempty"`
-	// Scope is whose work Loads and Uses are. AskAll makes the receiver the sender's hub:
-	// it counts the sender to its group and answers for everybody.
+	// Scope says whose work Loads and Uses describe. AskAll makes the receiver the sender's hub:
+	// it counts the sender in its group and answers with the totals of all routers.
 	Scope  Scope `cbor:"14,keyasint,omitempty"`
 	AskAll bool  `cbor:"15,keyasint,omitempty"`
-	// ReadOf is whose prompts Read names; HaveReadOf is that of Have.
+	// PrefixScope is the scope of the log that Prefixes come from, AckScope that of AckSeq.
 	ReadOf     Scope `cbor:"16,keyasint,omitempty"`
 	HaveReadOf Scope `cbor:"17,keyasint,omitempty"`
-	// Entries are the routers of the scope, left out when the receiver has them already by
-	// their Digest. HaveDigest is that of the list which the sender has from the receiver.
+	// Members are the routers of the scope; left out when the receiver has the list with this
+	// Digest already. AckDigest is the digest of the list that the sender has from the receiver.
 	Entries    []Entry `cbor:"18,keyasint,omitempty"`
 	Digest     uint64  `cbor:"19,keyasint,omitempty"`
 	HaveDigest uint64  `cbor:"20,keyasint,omitempty"`
-	// PaceMs is the pause until the sender's next report, in milliseconds, where it is longer
+	// IntervalMs is the time until the sender's next report in milliseconds, where it is longer
 	// than that of a router with work.
 	PaceMs int64 `cbor:"25,keyasint,omitempty"`
-	// Evacuated are the availability zones whose upstreams are given nothing, as of revision
-	// EvacuatedAt of the store; 0 while the sender doesn't know.
+	// Evacuated are the availability zones whose upstreams are assigned no work, as of revision
+	// EvacuatedAt of the store; 0 while the sender does not know.
 	Evacuated   []string `cbor:"26,keyasint,omitempty"`
 	EvacuatedAt int64    `cbor:"27,keyasint,omitempty"`
-	// Restored are the zones whose evacuation ended lately.
+	// Restored are the zones whose evacuation ended recently.
 	Restored []RestoredZone `cbor:"28,keyasint,omitempty"`
-	// Store is when the operators' store was heard, as far as the sender knows; nil where it wasn't.
+	// Store is the newest contact with the operators' store that the sender knows of; nil for
+	// none.
 	Store *StoreContact `cbor:"29,keyasint,omitempty"`
-	// Clock is the sender's steady clock, in milliseconds since it started. Echo is the newest one
-	// that it has read from the receiver, in the receiver's life HaveOf; 0 for none.
+	// Clock is the sender's monotonic clock in milliseconds since it started. Echo is the newest
+	// clock value that it has received from the receiver, in the receiver's life AckLife; 0 for
+	// none.
 	Clock int64 `cbor:"30,keyasint,omitempty"`
 	Echo  int64 `cbor:"31,keyasint,omitempty"`
-	// ConfigDigest tells different documents of version Config apart. ListSince is the revision
-	// from which on the list has been what it is at Instances.
+	// ConfigDigest tells different documents with the same version Config apart. ListSince is the
+	// oldest revision from which on the list has been the same as at Instances.
 	ConfigDigest uint64 `cbor:"32,keyasint,omitempty"`
 	ListSince    int64  `cbor:"33,keyasint,omitempty"`
-	// Given is what the receiver lacks of the sender's configuration and list.
+	// Update is what the receiver lacks of the sender's configuration and list.
 	Given *CatalogGiven `cbor:"34,keyasint,omitempty"`
 }
 
 // RestoredZone is an availability zone that is no longer evacuated.
 type RestoredZone struct {
 	Zone string `cbor:"1,keyasint"`
-	// Revision is that of the store which told the sender so, AgeMs how long ago, in milliseconds.
+	// Revision is the store's revision that the sender knows this from, AgeMs how long ago that
+	// was, in milliseconds.
 	Revision int64 `cbor:"2,keyasint"`
 	AgeMs    int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Scope says whose work a report tells of.
+// Scope says whose work a report describes.
 type Scope uint8
 
 // Scopes of reports.
 const (
 	// ScopeOwn is the sender's own work.
 	ScopeOwn Scope = iota
-	// ScopeGroup is that of the sender and of those whose hub it is.
+	// ScopeGroup is the work of the sender and of the members whose hub it is.
 	ScopeGroup
-	// ScopeAll is that of all routers but the receiver.
+	// ScopeAll is the work of all routers but the receiver.
 	ScopeAll
 )
 
-// Entry is a router as its hub knows it.
+// MemberState is a router's state as its hub knows it.
 type Entry struct {
 	Member Member `cbor:"1,keyasint"`
 	Ready  bool   `cbor:"2,keyasint,omitempty"`
-	// Pressed is whether it gets too little processor for what it is asked.
+	// CPUStarved says that it gets too little CPU for its requests.
 	Pressed bool `cbor:"3,keyasint,omitempty"`
-	// Config is the version of its configuration in force, as it last told.
+	// Config is the version of the configuration in use, as last reported.
 	Config int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// InstanceLoad is work in progress on one instance in one of its lives.
+// InstanceLoad is the work in flight on one instance in one of its lives.
 type InstanceLoad struct {
 	Instance string `cbor:"1,keyasint"`
 	Running  int    `cbor:"2,keyasint"`
 	Unread   int    `cbor:"3,keyasint,omitempty"`
 	Memory   int    `cbor:"4,keyasint,omitempty"`
-	// Life tells lives of the instance apart, as upstream.Life does: work in an earlier one is
-	// no load of the present one.
+	// Life identifies the instance's life, as upstream.Life does: work in an earlier one is no
+	// load of the current one.
 	Life uint32 `cbor:"5,keyasint,omitempty"`
-	// Fragile is the number of streams that a long pause would make late, Long that of prompts
-	// to be read whose reading makes one.
+	// PauseWeight is the weight of the streams that a long pause would make late, LongPrompts the
+	// number of prompts still to prefill that cause such a pause.
 	Fragile int `cbor:"6,keyasint,omitempty"`
 	Long    int `cbor:"7,keyasint,omitempty"`
-	// ExpectedMs and SeenMs are how long prompts were expected to be read for, and were, over
+	// ExpectedMs and MeasuredMs are the sums of the expected and the measured prefill times over
 	// the last seconds, in milliseconds.
 	ExpectedMs int `cbor:"8,keyasint,omitempty"`
 	SeenMs     int `cbor:"9,keyasint,omitempty"`
 }
 
-// empty reports whether the load says nothing.
+// empty reports whether the load carries no information.
 func (l InstanceLoad) empty() bool { return l.Running <= 0 && l.ExpectedMs <= 0 }
 
-// Pauses are pauses of streams at the engines of a service beside prompts that were read there.
+// Pauses are pauses of streams at the engines of a service while prompts were prefilled there.
 type Pauses struct {
 	Service string `cbor:"1,keyasint"`
-	// Ms is the sum of the pauses in milliseconds and Count their number, for each bucket of
-	// times that the prompts took to be read.
+	// Ms is the sum of the pauses in milliseconds and Count their number, by bucket of prefill
+	// time.
 	Ms    []int `cbor:"2,keyasint"`
 	Count []int `cbor:"3,keyasint"`
 }
 
-// plus adds another router's pauses sign times.
+// plus returns p with the pauses o added sign times.
 func (p Pauses) plus(o Pauses, sign int) Pauses {
 	return Pauses{Service: o.Service, Ms: sums(p.Ms, o.Ms, sign), Count: sums(p.Count, o.Count, sign)}
 }
@@ -148,30 +150,30 @@
 	return total
 }
 
-// Inflow is what routers give to the instances of a service, counted as the time by which it
-// raises the costs of the instances.
+// Inflow is the rate at which routers assign work to the instances of a service. Work is measured
+// by the time that it adds to the instances' costs.
 type Inflow struct {
 	Service string `cbor:"1,keyasint"`
-	// Rate is how much is given in a second, in seconds.
+	// Rate is the work assigned per second, in seconds.
 	Rate float64 `cbor:"2,keyasint"`
-	// Unseen is how much was given since the loads of the report were counted, in seconds; 0 for
-	// a router's own work.
+	// Unseen is the work assigned since the report's loads were counted, in seconds; 0 for a
+	// router's own work.
 	Unseen float64 `cbor:"3,keyasint,omitempty"`
-	// Spare is how many requests a second come from organisations over their share.
+	// OverShare is the number of requests per second of organisations over their fair share.
 	Spare float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Use is an organisation's traffic at one router, in tokens a second.
+// Use is an organisation's traffic at one router, in tokens per second.
 type Use struct {
 	Organisation string  `cbor:"1,keyasint"`
 	Asked        float64 `cbor:"2,keyasint"`
 	Got          float64 `cbor:"3,keyasint"`
 }
 
-// PromptRead says that an engine has read a prompt's beginning.
+// CachedPrefix says that an engine has prefilled the beginning of a prompt.
 type PromptRead struct {
 	Key      uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
-	// Life is that of the instance in which it read it, see InstanceLoad.
+	// Life is the instance's life in which it did so, see InstanceLoad.
 	Life uint32 `cbor:"3,keyasint,omitempty"`
 }
--- a/pkg/fleet/secret.go
+++ b/pkg/fleet/secret.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 )
 
-// SecretPath is where a router that starts again asks for the fleet's secret.
+// SecretPath is where a router that restarts asks for the fleet's secret.
 const SecretPath = "/fleet/secret"
 
-// Secret asks the peer at addr for the fleet's secret.
+// FetchSecret asks the peer at addr for the fleet's secret.
 func (d *Duty) Secret(ctx context.Context, addr string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+SecretPath, nil)
 	if err != nil {
@@ -27,7 +27,7 @@
 		return nil, errors.Trace(err)
 	}
 	if resp.StatusCode != http.StatusOK || len(secret) != secretSize {
-		return nil, errors.Errorf("the peer answers %d to the question for the secret", resp.StatusCode)
+		return nil, errors.Errorf("peer answered status %d to the request for the secret", resp.StatusCode)
 	}
 	return secret, nil
 }
--- a/pkg/fleet/serve.go
+++ b/pkg/fleet/serve.go
@@ -9,32 +9,32 @@
 	"github.com/gorilla/mux"
 )
 
-// mostUnderWay is how long a question usually is under way at most: links take a few
+// maxRequestDelay is how long a request usually is in flight at most: links take a few
 // milliseconds, and a busy router some tens.
-const mostUnderWay = 200 * time.Millisecond
+const maxRequestDelay = 200 * time.Millisecond
 
-// Handler takes other routers' reports.
+// Handler serves the requests of other routers.
 func (f *Fleet) Handler() *mux.Router {
 	r := mux.NewRouter()
-	r.HandleFunc(Path, f.take).Methods(http.MethodPost)
-	r.HandleFunc(SecretPath, f.hand).Methods(http.MethodGet)
-	r.HandleFunc(CatalogPath, f.give).Methods(http.MethodPost)
+	r.HandleFunc(Path, f.serveReport).Methods(http.MethodPost)
+	r.HandleFunc(SecretPath, f.serveSecret).Methods(http.MethodGet)
+	r.HandleFunc(CatalogPath, f.serveCatalog).Methods(http.MethodPost)
 	return r
 }
 
-func (f *Fleet) give(w http.ResponseWriter, in *http.Request) {
-	ask := new(CatalogAsk)
-	if f.open(w, in, ask) {
-		f.answer(w, f.local.Catalog(*ask))
+func (f *Fleet) serveCatalog(w http.ResponseWriter, in *http.Request) {
+	req := new(CatalogAsk)
+	if f.readMessage(w, in, req) {
+		f.writeMessage(w, f.local.Catalog(*req))
 	}
 }
 
-func (f *Fleet) take(w http.ResponseWriter, in *http.Request) {
+func (f *Fleet) serveReport(w http.ResponseWriter, in *http.Request) {
 	report := new(Report)
-	if !f.open(w, in, report) {
+	if !f.readMessage(w, in, report) {
 		return
 	}
-	f.incoming(report, f.madeAfter(report, time.Now()))
+	f.handleReport(report, f.requestSentAfter(report, time.Now()))
 	f.mu.Lock()
 	p := f.peers[report.From.Peers]
 	f.mu.Unlock()
@@ -42,29 +42,29 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	f.answer(w, f.reply(p, report))
+	f.writeMessage(w, f.response(p, report))
 }
 
-// hand gives the secret to a router that starts again while the store is away.
+// serveSecret sends the secret to a router that restarts during a store outage.
 //
-// Guard: without the secret that router could take no configuration from its peers, and
-// would refuse all its callers until the store is back. It is told by its address: only
-// addresses that are known from the store or from sealed reports are answered.
-func (f *Fleet) hand(w http.ResponseWriter, in *http.Request) {
+// Without the secret that router could take no configuration from its peers, and would refuse all
+// callers until the store is back. Requests are authorised by their IP address: only addresses
+// known from the store or from authenticated reports are answered.
+func (f *Fleet) serveSecret(w http.ResponseWriter, in *http.Request) {
 	secret := f.Secret()
 	host, _, err := net.SplitHostPort(in.RemoteAddr)
-	if err != nil || secret == nil || !f.knows(host) {
-		f.log.WithField("event", "secret_refused").WithField("from", in.RemoteAddr).Warn("secret is not handed out")
+	if err != nil || secret == nil || !f.knowsIP(host) {
+		f.log.WithField("event", "secret_refused").WithField("from", in.RemoteAddr).Warn("refused a request for the secret")
 		w.WriteHeader(http.StatusForbidden)
 		return
 	}
-	f.log.WithField("event", "secret_handed").WithField("to", in.RemoteAddr).Info("secret handed to a known router")
-	_, _ = w.Write(secret) // a router that is gone asks again
+	f.log.WithField("event", "secret_handed").WithField("to", in.RemoteAddr).Info("sent the secret to a known router")
+	_, _ = w.Write(secret) // a router that disconnected asks again
 }
 
-// knows reports whether a router lives, or lately lived, at an IP address. Seeds count
-// only once they were heard of.
-func (f *Fleet) knows(ip string) bool {
+// knowsIP reports whether a known router has an IP address. Seeds count only once their name is
+// known.
+func (f *Fleet) knowsIP(ip string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.peers {
@@ -76,29 +76,29 @@
 	return false
 }
 
-// open reads a sealed message; when it returns false the answer has been given.
-func (f *Fleet) open(w http.ResponseWriter, in *http.Request, v any) bool {
+// readMessage reads an authenticated message; when it returns false the request is finished.
+func (f *Fleet) readMessage(w http.ResponseWriter, in *http.Request, v any) bool {
 	secret := f.Secret()
 	if secret == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return false
 	}
-	data, err := io.ReadAll(io.LimitReader(in.Body, maxMessage))
+	data, err := io.ReadAll(io.LimitReader(in.Body, maxMessageBytes))
 	if err != nil {
-		return false // the peer broke off; it sends its next report anyway
+		return false // the peer disconnected; it sends its next report anyway
 	}
 	if err := decode(data, secret, v); err != nil {
-		f.log.WithError(err).WithField("event", "report_refused").WithField("from", in.RemoteAddr).Warn("message refused")
+		f.log.WithError(err).WithField("event", "report_refused").WithField("from", in.RemoteAddr).Warn("refused a message that can't be authenticated or decoded")
 		w.WriteHeader(http.StatusForbidden)
 		return false
 	}
 	return true
 }
 
-func (f *Fleet) answer(w http.ResponseWriter, v any) {
+func (f *Fleet) writeMessage(w http.ResponseWriter, v any) {
 	data, err := encode(v, f.Secret())
 	if err != nil {
-		f.log.WithError(err).WithField("event", "report_unsent").Error("report can't be encoded")
+		f.log.WithError(err).WithField("event", "report_unsent").Error("can't encode the answer")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
--- a/pkg/fleet/stall_test.go
+++ b/pkg/fleet/stall_test.go
@@ -8,32 +8,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router of a large fleet stands still for two seconds. At its first look afterwards nobody
-// has noted yet that it was late, so it takes itself for one of a small fleet and asks all
-// others at once.
-func TestRouterThatStoodStillStaysInItsPlace(t *testing.T) {
+// A router of a large fleet stalls for two seconds. The first check afterwards must detect the
+// stall; otherwise the router would conclude that the fleet is small and ask all other routers at
+// once.
+func TestStalledRouterKeepsItsRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCrowd(48)
-		c.play(4 * time.Second)
-		late := c.member("")
+		c := newTestFleet(48)
+		c.run(4 * time.Second)
+		stalled := c.member("")
 		time.Sleep(2 * time.Second)
-		asked := late.fleet.due(time.Now())
-		require.False(t, late.fleet.last.direct)
+		asked := stalled.fleet.duePeers(time.Now())
+		require.False(t, stalled.fleet.role.direct)
 		require.LessOrEqual(t, len(asked), 1)
 	})
 }
 
-// A late router hears of nobody for two seconds. Counted as one of one, it allows itself the
-// repeats of the whole fleet, and reads the store for all.
-func TestLateRouterCountsTheFleetThatItKnows(t *testing.T) {
+// A CPU-starved router receives no reports for two seconds. If it counted itself as the whole
+// fleet, it would allow itself the retries of the whole fleet, and read the store on behalf of
+// all.
+func TestStarvedRouterCountsRememberedRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 48
-		c := newCrowd(n)
-		c.play(4 * time.Second)
-		late := c.member("")
-		late.late = true
-		late.fleet.question(late.fleet.peers[late.fleet.last.own], false)
+		c := newTestFleet(n)
+		c.run(4 * time.Second)
+		starved := c.member("")
+		starved.starved = true
+		starved.fleet.request(starved.fleet.peers[starved.fleet.role.ownHub], false)
 		time.Sleep(2 * time.Second)
-		require.Equal(t, n, late.fleet.Count())
+		require.Equal(t, n, starved.fleet.Count())
 	})
 }
--- a/pkg/fleet/storecontact.go
+++ b/pkg/fleet/storecontact.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// StoreContact is a span of time in which some router heard the operators' store without a break.
+// StoreContact is a span of time in which some router was in uninterrupted contact with the
+// operators' store.
 type StoreContact struct {
-	// SinceMs and AgeMs are how long ago it began and last answered, in milliseconds.
+	// SinceMs and AgeMs are how long ago the span began and the store last answered, in
+	// milliseconds.
 	SinceMs int64 `cbor:"1,keyasint,omitempty"`
 	AgeMs   int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// maxContactMs bounds what is believed of the age of a contact, in milliseconds.
+// maxContactMs bounds the accepted age of a contact in milliseconds.
 const maxContactMs = 3_600_000
 
-// NewStoreContact tells of a span at now; nil when nothing was ever heard.
+// NewStoreContact describes a span at now; nil when the store has never answered.
 func NewStoreContact(since, until, now time.Time) *StoreContact {
 	if until.IsZero() {
 		return nil
@@ -21,12 +23,11 @@
 	return &StoreContact{SinceMs: min(now.Sub(since).Milliseconds(), maxContactMs), AgeMs: age.Milliseconds()}
 }
 
-// span gives the span by this router's clock, of a report that was made at made or later and was
-// received at received. It is never longer than the sender's.
-//
-// Guard: told on and on, a span that grew by the time of each message would hide an outage.
-func (s *StoreContact) span(made, received time.Time) (since, until time.Time) {
-	return received.Add(-age(s.SinceMs)), made.Add(-age(s.AgeMs))
+// span returns the span by this router's clock, for a report that was created at createdAt or later
+// and arrived at received. It is never longer than the sender's: a span that grew by the transit
+// time of each message that relays it would hide an outage.
+func (s *StoreContact) span(createdAt, received time.Time) (since, until time.Time) {
+	return received.Add(-age(s.SinceMs)), createdAt.Add(-age(s.AgeMs))
 }
 
 func age(ms int64) time.Duration {
--- a/pkg/fleet/storecontact_test.go
+++ b/pkg/fleet/storecontact_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against spans that grow as routers tell each other, or by ages that can't be.
-func TestToldContactsNeverGrow(t *testing.T) {
+// Spans of contact must not grow as routers relay them, nor by ages that are out of range.
+func TestRelayedContactsNeverGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
 		since, until, now := start, start.Add(time.Second), start.Add(time.Second)
 		for range rapid.IntRange(1, 200).Draw(t, "exchanges") {
-			made := now.Add(time.Duration(rapid.IntRange(0, 500_000).Draw(t, "pause")) * time.Microsecond)
-			now = made.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "under way")) * time.Microsecond)
-			since, until = NewStoreContact(since, until, made).span(made, now)
+			createdAt := now.Add(time.Duration(rapid.IntRange(0, 500_000).Draw(t, "pause")) * time.Microsecond)
+			now = createdAt.Add(time.Duration(rapid.IntRange(0, 60_000).Draw(t, "in transit")) * time.Microsecond)
+			since, until = NewStoreContact(since, until, createdAt).span(createdAt, now)
 			require.False(t, since.Before(start))
 			require.False(t, until.After(start.Add(time.Second)))
 		}
@@ -31,13 +31,13 @@
 	require.Nil(t, NewStoreContact(time.Time{}, time.Time{}, now))
 }
 
-// Guards against reports that don't tell of the store.
-func TestReportsTellOfTheStore(t *testing.T) {
+// Reports carry the newest contact with the store.
+func TestReportsCarryTheStoreContact(t *testing.T) {
 	a, b := newRouter(t, "a", []byte("secret")), newRouter(t, "b", []byte("secret"))
-	a.told = &StoreContact{SinceMs: 9000, AgeMs: 100}
+	a.contact = &StoreContact{SinceMs: 9000, AgeMs: 100}
 	now := time.Now()
-	report, _ := a.fleet.describe(false)
-	b.fleet.incoming(&report, now)
+	report, _ := a.fleet.describeSelf(false)
+	b.fleet.handleReport(&report, now)
 	require.False(t, b.storeSince.Before(now.Add(-9*time.Second)))
 	require.False(t, b.storeSince.After(time.Now().Add(-9*time.Second)))
 	require.Equal(t, now.Add(-100*time.Millisecond), b.storeUntil)
--- a/pkg/fleet/sums_test.go
+++ b/pkg/fleet/sums_test.go
@@ -13,11 +13,11 @@
 )
 
 // sumsSettle is the time after the last event within which all sums must be right again: a lost
-// router is missed for aliveFor, and its place is taken within a few exchanges.
-const sumsSettle = aliveFor + 2*groupLife + 2*memberIdle
+// router counts as alive for aliveTimeout, and a lost hub is replaced within a few exchanges.
+const sumsSettle = aliveTimeout + 2*groupTimeout + 2*memberIdleInterval
 
-// strike kills, revives, isolates or frees some routers of the crowd, drawn by chance.
-func (c *crowd) strike(random *rand.Rand) string {
+// disturb kills or revives some random routers, or changes their work.
+func (c *testFleet) disturb(random *rand.Rand) string {
 	addrs := slices.Sorted(maps.Keys(c.routers))
 	count := 1 + random.IntN(len(addrs)/2)
 	what := random.IntN(3)
@@ -40,11 +40,11 @@
 	return fmt.Sprint([]string{"down", "up", "work"}[what], " ", count)
 }
 
-// work is the running work of all routers that are up but one.
-func (c *crowd) work(not string) int {
+// workOfOthers is the work in flight of all routers that are up, except one.
+func (c *testFleet) workOfOthers(except string) int {
 	total := 0
 	for addr, r := range c.routers {
-		if addr == not || c.down[addr] {
+		if addr == except || c.down[addr] {
 			continue
 		}
 		for _, l := range r.loads {
@@ -54,29 +54,28 @@
 	return total
 }
 
-// Routers die, come back, begin and end work in any order. Work that is counted twice, or that a
-// sum goes on holding, makes engines seem full for good; a sum that feeds itself grows without
-// end.
+// Routers die, come back, begin and end work in any order. Work that is counted twice, or that
+// stays in a sum, makes engines seem full for good; a sum that includes itself grows without end.
 func TestSumsHoldWhileRoutersComeAndGo(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(seed, 1))
 				n := 17 + random.IntN(40)
-				c := newCrowd(n)
-				c.play(2 * time.Second)
+				c := newTestFleet(n)
+				c.run(2 * time.Second)
 				for range 6 {
-					what := c.strike(random)
+					what := c.disturb(random)
 					for range 4 {
-						c.play(time.Duration(random.IntN(400)) * time.Millisecond)
+						c.run(time.Duration(random.IntN(400)) * time.Millisecond)
 						for _, r := range c.alive() {
-							require.LessOrEqual(t, r.others[LifeKey{Instance: "common"}].Running, 2*n, "while %s: a sum feeds itself", what)
+							require.LessOrEqual(t, r.others[LifeKey{Instance: "common"}].Running, 2*n, "after %s: a sum includes itself", what)
 						}
 					}
 				}
-				c.play(sumsSettle)
+				c.run(sumsSettle)
 				for _, r := range c.alive() {
-					require.Equal(t, c.work(r.fleet.self.Peers), r.others[LifeKey{Instance: "common"}].Running, "at %s", r.fleet.self.Peers)
+					require.Equal(t, c.workOfOthers(r.fleet.self.Peers), r.others[LifeKey{Instance: "common"}].Running, "at %s", r.fleet.self.Peers)
 				}
 			})
 		})
