--- a/pkg/fleet/bench_test.go
+++ b/pkg/fleet/bench_test.go
@@ -18,7 +18,7 @@
 	for _, r := range c.routers {
 		r.loads = nil
 		for e := range 4 {
-			r.loads = append(r.loads, InstanceLoad{Instance: fmt.Sprintf("i-%08x", (i*7+e*13)%engines), Life: 77, Running: 1, Unread: 900, Memory: 9000, ExpectedMs: 300, SeenMs: 280})
+			r.loads = append(r.loads, InstanceLoad{Instance: fmt.Sprintf("i-%08x", (i*7+e*13)%engines), Life: 77, Running: 1, PrefillTokens: 900, KVTokens: 9000, BaseMs: 300, ActualMs: 280})
 		}
 		for o := range 6 {
 			r.extraUses = append(r.extraUses, Use{Organisation: fmt.Sprintf("org-%02d", (i+o*11)%organisations), Asked: 1234.5678, Got: 1000.123})
--- a/pkg/fleet/catchup.go
+++ b/pkg/fleet/catchup.go
@@ -16,7 +16,7 @@
 const CatalogPath = "/fleet/catalog"
 
 // CatalogRequest asks for whatever is newer than the sender's own versions.
-type CatalogAsk struct {
+type CatalogRequest struct {
 	From      string `cbor:"1,keyasint"`
 	Config    int64  `cbor:"2,keyasint"`
 	Instances int64  `cbor:"3,keyasint"`
@@ -27,7 +27,7 @@
 }
 
 // CatalogUpdate is the answer; it leaves out whatever is not newer.
-type CatalogGiven struct {
+type CatalogUpdate struct {
 	// PlainConfig and PlainInstances serve routers that cannot decode packed answers during a
 	// rolling upgrade of the fleet.
 	PlainConfig    *routing.Config     `cbor:"1,keyasint,omitempty"`
@@ -46,18 +46,18 @@
 const maxCatalogBytes = 8 << 20
 
 // FetchCatalog asks the peer at addr for what is newer than req describes.
-func (d *Duty) Catalog(ctx context.Context, addr string, req CatalogAsk) (*CatalogGiven, error) {
-	req.From, req.Packed = d.fleet.self.Name, true
-	update := new(CatalogGiven)
-	if err := d.post(ctx, addr, CatalogPath, req, update, maxCatalogBytes); err != nil {
+func (e *Exchanger) FetchCatalog(ctx context.Context, addr string, req CatalogRequest) (*CatalogUpdate, error) {
+	req.From, req.Packed = e.fleet.self.Name, true
+	update := new(CatalogUpdate)
+	if err := e.post(ctx, addr, CatalogPath, req, update, maxCatalogBytes); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return update, nil
 }
 
 // post sends an authenticated message and decodes the authenticated answer.
-func (d *Duty) post(ctx context.Context, addr, path string, message, answer any, limit int64) error {
-	secret := d.fleet.Secret()
+func (e *Exchanger) post(ctx context.Context, addr, path string, message, answer any, limit int64) error {
+	secret := e.fleet.Secret()
 	if secret == nil {
 		return errors.New("the fleet's secret is not known")
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	resp, err := d.http.Do(req)
+	resp, err := e.http.Do(req)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/pkg/fleet/clock.go
+++ b/pkg/fleet/clock.go
@@ -16,7 +16,7 @@
 // dated from their request.
 func (f *Fleet) requestSentAfter(r *Report, now time.Time) time.Time {
 	latest := now.Add(-maxRequestDelay)
-	if r.Echo <= 0 || r.HaveOf != f.self.Started {
+	if r.Echo <= 0 || r.AckLife != f.self.Started {
 		return latest
 	}
 	if echoed := f.startedAt.Add(time.Duration(r.Echo) * time.Millisecond); echoed.Before(latest) {
--- a/pkg/fleet/clock_test.go
+++ b/pkg/fleet/clock_test.go
@@ -18,14 +18,14 @@
 
 	const waited = 10 * time.Second
 	b.fleet.startedAt = b.fleet.startedAt.Add(-waited) // the same time after its report as if the request had waited
-	require.NoError(t, a.duty.post(t.Context(), b.fleet.self.Peers, Path, req, new(Report), maxMessageBytes))
+	require.NoError(t, a.exchanger.post(t.Context(), b.fleet.self.Peers, Path, req, new(Report), maxMessageBytes))
 	require.GreaterOrEqual(t, time.Since(b.peerListAsOf), waited)
 
 	received := b.fleet.startedAt.Add(time.Minute)
 	require.Equal(t, b.fleet.startedAt.Add(time.Duration(report.Clock)*time.Millisecond), b.fleet.requestSentAfter(&req, received))
-	req.HaveOf++
+	req.AckLife++
 	require.Equal(t, received.Add(-maxRequestDelay), b.fleet.requestSentAfter(&req, received), "an echo from another life is ignored")
-	req.HaveOf--
+	req.AckLife--
 	req.Echo = time.Hour.Milliseconds()
 	require.Equal(t, received.Add(-maxRequestDelay), b.fleet.requestSentAfter(&req, received), "an echo from the future is ignored")
 }
--- a/pkg/fleet/codec.go
+++ b/pkg/fleet/codec.go
@@ -16,7 +16,7 @@
 )
 
 // ErrBadMAC says that a message does not come from a router of this fleet.
-const ErrSeal = errors.ConstError("message authentication failed")
+const ErrBadMAC = errors.ConstError("message authentication failed")
 
 var decMode = mustDecMode()
 
@@ -40,7 +40,7 @@
 // decode verifies the message authentication code and decodes the message into v.
 func decode(data, secret []byte, v any) error {
 	if len(data) < sha256.Size || !hmac.Equal(data[:sha256.Size], computeMAC(data[sha256.Size:], secret)) {
-		return ErrSeal
+		return ErrBadMAC
 	}
 	return errors.Trace(decMode.Unmarshal(data[sha256.Size:], v))
 }
--- a/pkg/fleet/exchange.go
+++ b/pkg/fleet/exchange.go
@@ -51,14 +51,14 @@
 	if withOthers {
 		r.Suspects, r.AskOthers = f.local.Suspects(), true
 	}
-	prefixes := f.local.Reads()
+	prefixes := f.local.NewPrefixes()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.prefixLogs {
 		f.prefixLogs[i].add(prefixes)
 	}
 	now := time.Now()
-	if r.Pressed {
+	if r.CPUStarved {
 		f.starvedAt = now
 	}
 	f.recordWork(&r, now)
@@ -67,14 +67,14 @@
 
 // setScope extends r, which describes this router alone, to the work of the given scope.
 func (f *Fleet) setScope(r *Report, p *peer, scope Scope, withOthers bool, now time.Time) {
-	r.Scope, r.ReadOf = scope, scope
+	r.Scope, r.PrefixScope = scope, scope
 	after := p.ackedSeq
 	if p.ackedScope != scope {
 		after = 0
 	}
-	r.Read, r.Last = f.prefixLogs[scope].after(after)
-	r.Have, r.HaveOf, r.HaveReadOf = p.receivedSeq, p.member.Started, p.receivedScope
-	r.HaveDigest = p.digest
+	r.Prefixes, r.LastSeq = f.prefixLogs[scope].after(after)
+	r.AckSeq, r.AckLife, r.AckScope = p.receivedSeq, p.member.Started, p.receivedScope
+	r.AckDigest = p.digest
 	r.Echo = p.clock
 	if scope != ScopeOwn {
 		f.addTotals(r, p, scope, now)
@@ -92,7 +92,7 @@
 
 // addTotals adds the work of the other routers in the scope to r, and lists these routers.
 func (f *Fleet) addTotals(r *Report, p *peer, scope Scope, now time.Time) {
-	var total Work
+	var total Totals
 	if scope == ScopeAll {
 		total = f.sumWithout(p, now)
 	} else {
@@ -100,10 +100,10 @@
 	}
 	total.add(r, 1, 0)
 	total.fill(r)
-	list, sum := f.membersOf(scope, Entry{Member: f.self, Ready: r.Ready, Pressed: r.Pressed, Config: r.Config}, now)
+	list, sum := f.membersOf(scope, MemberState{Member: f.self, Ready: r.Ready, CPUStarved: r.CPUStarved, Config: r.Config}, now)
 	r.Digest = sum
 	if sum != p.ackedDigest {
-		r.Entries = list
+		r.Members = list
 	}
 }
 
@@ -125,15 +125,15 @@
 	}
 	p.clock = max(p.clock, r.Clock)
 	p.member, p.reportAt, p.failures = r.From, now, 0
-	p.ready, p.starved, p.config = r.Ready, r.Pressed, r.Config
-	p.ackedDigest = r.HaveDigest
+	p.ready, p.starved, p.config = r.Ready, r.CPUStarved, r.Config
+	p.ackedDigest = r.AckDigest
 	f.storeReport(p, r, now)
-	if r.HaveOf == f.self.Started {
-		p.ackedSeq, p.ackedScope = r.Have, r.HaveReadOf
+	if r.AckLife == f.self.Started {
+		p.ackedSeq, p.ackedScope = r.AckSeq, r.AckScope
 	}
-	prefixes := r.Read
-	if r.ReadOf != p.receivedScope || r.Last > p.receivedSeq {
-		p.receivedSeq, p.receivedScope = r.Last, r.ReadOf
+	prefixes := r.Prefixes
+	if r.PrefixScope != p.receivedScope || r.LastSeq > p.receivedSeq {
+		p.receivedSeq, p.receivedScope = r.LastSeq, r.PrefixScope
 	}
 	f.relayPrefixes(r)
 	f.mergeMembers(p, r, now)
@@ -143,25 +143,25 @@
 	totals, publish := f.othersToPublish(now)
 	f.mu.Unlock()
 	if len(prefixes) > 0 {
-		f.local.Learn(prefixes)
+		f.local.AddPrefixes(prefixes)
 	}
 	if len(r.Suspects) > 0 {
-		f.local.Suspect(r.Suspects)
+		f.local.MergeSuspects(r.Suspects)
 	}
 	if publish {
-		f.local.Work(totals)
+		f.local.SetOthers(totals)
 	}
-	f.local.Evacuated(r.From, r.Evacuated, r.EvacuatedAt, r.Restored)
+	f.local.MergeEvacuated(r.From, r.Evacuated, r.EvacuatedAt, r.Restored)
 	if r.Store != nil {
-		f.local.StoreHeard(r.Store.span(createdAt, now))
+		f.local.StoreContacted(r.Store.span(createdAt, now))
 	}
-	f.local.Behind(r, r.listAsOf(createdAt))
+	f.local.PeerVersions(r, r.listAsOf(createdAt))
 }
 
 // storeReport stores the work that r describes, without the parts that are processed immediately.
 func (f *Fleet) storeReport(p *peer, r *Report, now time.Time) {
 	stored := *r
-	stored.Read, stored.Others, stored.Suspects, stored.Entries, stored.Evacuated, stored.Restored, stored.Store, stored.Given = nil, nil, nil, nil, nil, nil, nil, nil
+	stored.Prefixes, stored.Others, stored.Suspects, stored.Members, stored.Evacuated, stored.Restored, stored.Store, stored.Update = nil, nil, nil, nil, nil, nil, nil, nil
 	if r.Scope == ScopeAll {
 		f.selectUses(&stored, now)
 		f.hubReport, f.hubReportAt = &stored, now
@@ -170,7 +170,7 @@
 		return
 	}
 	p.report = &stored
-	p.reportInterval = min(time.Duration(max(0, r.PaceMs))*time.Millisecond, memberIdleInterval)
+	p.reportInterval = min(time.Duration(max(0, r.IntervalMs))*time.Millisecond, memberIdleInterval)
 	p.joinedAt = time.Time{}
 	if r.AskAll {
 		p.joinedAt = now
@@ -201,9 +201,9 @@
 func (f *Fleet) relayPrefixes(r *Report) {
 	switch {
 	case r.AskAll:
-		f.prefixLogs[ScopeGroup].add(r.Read)
-		f.prefixLogs[ScopeAll].add(r.Read)
+		f.prefixLogs[ScopeGroup].add(r.Prefixes)
+		f.prefixLogs[ScopeAll].add(r.Prefixes)
 	case r.Scope == ScopeGroup:
-		f.prefixLogs[ScopeAll].add(r.Read)
+		f.prefixLogs[ScopeAll].add(r.Prefixes)
 	}
 }
--- a/pkg/fleet/exchanger.go
+++ b/pkg/fleet/exchanger.go
@@ -18,7 +18,7 @@
 const Path = "/fleet/report"
 
 // Exchanger exchanges reports with the peers of a fleet.
-type Duty struct {
+type Exchanger struct {
 	fleet *Fleet
 	http  *http.Client
 	meter traffic.Meter
@@ -31,22 +31,22 @@
 const idleConnTimeout = 20 * time.Second
 
 // NewExchanger returns the exchanger of f.
-func NewDuty(f *Fleet) *Duty {
-	d := &Duty{fleet: f}
-	d.DialWith(forward.Dialer(requestTimeout).DialContext)
-	return d
+func NewExchanger(f *Fleet) *Exchanger {
+	e := &Exchanger{fleet: f}
+	e.DialWith(forward.Dialer(requestTimeout).DialContext)
+	return e
 }
 
 // DialWith sets the function that opens connections. It must not be called once Run has started.
-func (d *Duty) DialWith(dial traffic.DialFunc) {
-	d.http = &http.Client{Timeout: requestTimeout, Transport: &http.Transport{
-		DialContext: d.meter.Dial(dial), MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: idleConnTimeout,
+func (e *Exchanger) DialWith(dial traffic.DialFunc) {
+	e.http = &http.Client{Timeout: requestTimeout, Transport: &http.Transport{
+		DialContext: e.meter.Dial(dial), MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: idleConnTimeout,
 		DisableCompression: true, ReadBufferSize: peerBuffer, WriteBufferSize: peerBuffer,
 	}}
 }
 
 // Traffic returns the bytes carried so far by the exchanges that this router began.
-func (d *Duty) Traffic() traffic.Bytes { return d.meter.Total() }
+func (e *Exchanger) Traffic() traffic.Bytes { return e.meter.Total() }
 
 // Intervals between two checks of which peers are due for an exchange.
 const (
@@ -57,22 +57,22 @@
 )
 
 // Run exchanges reports until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
+func (e *Exchanger) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.fleet.wake:
+		case <-e.fleet.wake:
 		case <-timer.C:
 		}
 		now := time.Now()
-		for _, p := range d.fleet.duePeers(now) {
-			go d.exchange(ctx, p)
+		for _, p := range e.fleet.duePeers(now) {
+			go e.exchange(ctx, p)
 		}
-		d.fleet.publish(now)
-		timer.Reset(d.fleet.nextCheckDelay(now))
+		e.fleet.publish(now)
+		timer.Reset(e.fleet.nextCheckDelay(now))
 	}
 }
 
@@ -248,8 +248,8 @@
 	return now.Sub(p.askedAt) >= interval
 }
 
-func (d *Duty) exchange(ctx context.Context, p *peer) {
-	f := d.fleet
+func (e *Exchanger) exchange(ctx context.Context, p *peer) {
+	f := e.fleet
 	addr, withOthers := f.begin(p)
 	req := f.request(p, withOthers)
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -258,7 +258,7 @@
 	sentAt := time.Now()
 	a := &attempt{peer: p}
 	overdue := time.AfterFunc(overdueAfter(&req), func() { f.markOverdue(a) })
-	err := d.post(ctx, addr, Path, req, resp, maxMessageBytes)
+	err := e.post(ctx, addr, Path, req, resp, maxMessageBytes)
 	overdue.Stop()
 	f.finish(a, err)
 	if err == nil {
@@ -272,7 +272,7 @@
 // exchange would succeed there, and the router would consider its peers lost exactly while it must
 // not.
 func overdueAfter(req *Report) time.Duration {
-	if req.Pressed {
+	if req.CPUStarved {
 		return starvedTimeout
 	}
 	return exchangeTimeout
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -67,9 +67,9 @@
 	snapshot       snapshot
 	roleSnapshotAt time.Time
 	// membership holds the routers that were alive when Membership was last called.
-	membership Roster
+	membership Membership
 	// sum is the total of the other routers' reports, as of sumAt.
-	sum   Work
+	sum   Totals
 	sumAt time.Time
 	// memberLists are the member lists last sent, by scope.
 	memberLists [ScopeAll + 1]memberList
@@ -109,7 +109,7 @@
 }
 
 // AddMembers adds routers that were learnt of from the registry or from settings.
-func (f *Fleet) Meet(list []Member) {
+func (f *Fleet) AddMembers(list []Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range list {
@@ -143,11 +143,11 @@
 }
 
 // Alive returns the other routers that are alive.
-func (f *Fleet) Alive() []Entry {
+func (f *Fleet) Alive() []MemberState {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var list []Entry
+	var list []MemberState
 	for _, p := range f.peers {
 		if p.alive(now) {
 			list = append(list, p.state())
@@ -185,16 +185,16 @@
 // A router in a large fleet that gets no CPU for half a second receives no reports in that time.
 // If it listed only itself to its callers, they would all use it, and it would never catch up. A
 // list that is a few seconds old serves them better.
-func (f *Fleet) Named() (named []Entry, known int) {
+func (f *Fleet) RecentlyAlive() (recent []MemberState, known int) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.peers {
 		if p.reportedRecently(now) || !p.listedAt.IsZero() && now.Sub(p.listedAt) < recentlyAliveTimeout {
-			named = append(named, p.state())
+			recent = append(recent, p.state())
 		}
 	}
-	return named, len(f.peers)
+	return recent, len(f.peers)
 }
 
 // Self returns this router's own description.
@@ -202,7 +202,7 @@
 
 // Role is this router's role in the exchange, for operators: "direct", "hub", or the address of
 // its hub.
-func (f *Fleet) Place() string {
+func (f *Fleet) Role() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.role.name()
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -22,8 +22,8 @@
 type router struct {
 	mu           sync.Mutex
 	loads        []InstanceLoad
-	newPrefixes  []PromptRead
-	received     []PromptRead
+	newPrefixes  []CachedPrefix
+	received     []CachedPrefix
 	others       map[LifeKey]InstanceLoad
 	uses         map[string]Use
 	extraUses    []Use
@@ -41,14 +41,14 @@
 	reported               chan struct{}
 	starved                bool
 
-	fleet *Fleet
-	duty  *Duty
+	fleet     *Fleet
+	exchanger *Exchanger
 }
 
 func (r *router) Describe(rep *Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep.Ready, rep.Pressed, rep.Loads, rep.Config, rep.ListAgeMs = true, r.starved, r.loads, 7, listAge.Milliseconds()
+	rep.Ready, rep.CPUStarved, rep.Loads, rep.Config, rep.ListAgeMs = true, r.starved, r.loads, 7, listAge.Milliseconds()
 	rep.Uses = append([]Use{{Organisation: "org", Asked: 10, Got: 5}}, r.extraUses...)
 	rep.Evacuated, rep.EvacuatedAt = r.evacuated, r.evacuatedAt
 	rep.Inflows = []Inflow{{Service: "llm", Rate: 2}}
@@ -56,11 +56,11 @@
 }
 
 // readyPeers returns the other routers that callers may be sent to.
-func (r *router) readyPeers() []Entry {
-	return slices.DeleteFunc(r.fleet.Alive(), func(e Entry) bool { return !e.Ready })
+func (r *router) readyPeers() []MemberState {
+	return slices.DeleteFunc(r.fleet.Alive(), func(e MemberState) bool { return !e.Ready })
 }
 
-func (r *router) Reads() []PromptRead {
+func (r *router) NewPrefixes() []CachedPrefix {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := r.newPrefixes
@@ -68,25 +68,25 @@
 	return list
 }
 
-func (r *router) Learn(list []PromptRead) {
+func (r *router) AddPrefixes(list []CachedPrefix) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.received = append(r.received, list...)
 }
 
-func (r *router) Work(w Work) {
+func (r *router) SetOthers(t Totals) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.others, r.uses, r.inflows = w.Loads, w.Uses, w.Inflows
+	r.others, r.uses, r.inflows = t.Loads, t.Uses, t.Inflows
 }
 
-func (r *router) StoreHeard(since, until time.Time) {
+func (r *router) StoreContacted(since, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeSince, r.storeUntil = since, until
 }
 
-func (r *router) Evacuated(_ Member, zones []string, revision int64, _ []RestoredZone) {
+func (r *router) MergeEvacuated(_ Member, zones []string, revision int64, _ []RestoredZone) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision > r.evacuatedAt {
@@ -94,9 +94,9 @@
 	}
 }
 
-func (r *router) Take(Member, *CatalogGiven, time.Time) {}
+func (r *router) ApplyUpdate(Member, *CatalogUpdate, time.Time) {}
 
-func (r *router) Behind(rep *Report, asOf time.Time) {
+func (r *router) PeerVersions(rep *Report, asOf time.Time) {
 	r.mu.Lock()
 	r.peerConfig, r.peerListAsOf = rep.Config, asOf
 	r.mu.Unlock()
@@ -110,13 +110,13 @@
 	return []wire.Suspicion{{Content: 9, Deaths: 1, Seq: 1}}
 }
 
-func (r *router) Suspect(list []wire.Suspicion) {
+func (r *router) MergeSuspects(list []wire.Suspicion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.suspects = list
 }
 
-func (r *router) Catalog(CatalogAsk) CatalogGiven { return CatalogGiven{Revision: 3} }
+func (r *router) Catalog(CatalogRequest) CatalogUpdate { return CatalogUpdate{Revision: 3} }
 
 var discardLog = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 
@@ -127,14 +127,14 @@
 	t.Cleanup(s.Close)
 	f = New(Member{Name: name, Peers: s.Listener.Addr().String(), Callers: name + ":1", Started: 1}, r, discardLog)
 	f.SetSecret(secret)
-	r.fleet, r.duty = f, NewDuty(f)
+	r.fleet, r.exchanger = f, NewExchanger(f)
 	return r
 }
 
 func (r *router) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); r.duty.Run(ctx) }()
+	go func() { defer close(done); r.exchanger.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 }
 
@@ -145,9 +145,9 @@
 
 func TestRoutersTellEachOther(t *testing.T) {
 	a, b := newRouter(t, "a", secret), newRouter(t, "b", secret)
-	a.loads = []InstanceLoad{{Instance: "i", Running: 3, Unread: 100}}
-	a.newPrefixes = []PromptRead{{Key: 1, Instance: "i"}}
-	a.fleet.Meet([]Member{b.fleet.self})
+	a.loads = []InstanceLoad{{Instance: "i", Running: 3, PrefillTokens: 100}}
+	a.newPrefixes = []CachedPrefix{{Key: 1, Instance: "i"}}
+	a.fleet.AddMembers([]Member{b.fleet.self})
 	a.run(t)
 	b.run(t)
 	<-a.reported
@@ -158,7 +158,7 @@
 	defer b.mu.Unlock()
 	require.Equal(t, 3, b.others[LifeKey{Instance: "i"}].Running)
 	require.Equal(t, 5.0, b.uses["org"].Got)
-	require.Equal(t, []PromptRead{{Key: 1, Instance: "i"}}, b.received)
+	require.Equal(t, []CachedPrefix{{Key: 1, Instance: "i"}}, b.received)
 	require.EqualValues(t, 7, b.peerConfig)
 	require.Len(t, b.suspects, 1)
 }
@@ -170,7 +170,7 @@
 		routers := []*router{newRouter(t, "a", secret), newRouter(t, "b", secret), newRouter(t, "c", secret)}
 		sort.Slice(routers, func(i, j int) bool { return routers[i].fleet.self.Peers < routers[j].fleet.self.Peers })
 		for _, r := range routers {
-			r.fleet.Meet([]Member{routers[middle].fleet.self})
+			r.fleet.AddMembers([]Member{routers[middle].fleet.self})
 			r.run(t)
 		}
 		for _, r := range routers {
@@ -185,7 +185,7 @@
 // configuration.
 func TestUnauthenticatedMessagesAreRefused(t *testing.T) {
 	a, forger := newRouter(t, "a", secret), newRouter(t, "x", []byte("guess"))
-	err := forger.duty.post(context.Background(), a.fleet.self.Peers, Path, Report{From: forger.fleet.self}, new(Report), maxMessageBytes)
+	err := forger.exchanger.post(context.Background(), a.fleet.self.Peers, Path, Report{From: forger.fleet.self}, new(Report), maxMessageBytes)
 	require.ErrorContains(t, err, "403")
 	require.Equal(t, 1, a.fleet.Count())
 
@@ -202,18 +202,18 @@
 func TestTheSecretIsSentToKnownAddressesOnly(t *testing.T) {
 	full := bytes.Repeat([]byte("s"), secretSize)
 	a, b := newRouter(t, "a", full), newRouter(t, "b", nil)
-	a.fleet.Meet([]Member{{Peers: "127.0.0.1:1"}})
-	_, err := b.duty.Secret(context.Background(), a.fleet.self.Peers)
+	a.fleet.AddMembers([]Member{{Peers: "127.0.0.1:1"}})
+	_, err := b.exchanger.FetchSecret(context.Background(), a.fleet.self.Peers)
 	require.ErrorContains(t, err, "403", "a seed that no report has named is not known")
-	a.fleet.Meet([]Member{b.fleet.self})
-	got, err := b.duty.Secret(context.Background(), a.fleet.self.Peers)
+	a.fleet.AddMembers([]Member{b.fleet.self})
+	got, err := b.exchanger.FetchSecret(context.Background(), a.fleet.self.Peers)
 	require.NoError(t, err)
 	require.Equal(t, full, got)
 }
 
 func TestCatalogIsGivenToPeers(t *testing.T) {
 	a, b := newRouter(t, "a", secret), newRouter(t, "b", secret)
-	given, err := a.duty.Catalog(context.Background(), b.fleet.self.Peers, CatalogAsk{})
+	given, err := a.exchanger.FetchCatalog(context.Background(), b.fleet.self.Peers, CatalogRequest{})
 	require.NoError(t, err)
 	require.EqualValues(t, 3, given.Revision)
 }
@@ -223,13 +223,13 @@
 func TestPrefixLogStartsAnewWithItsRouter(t *testing.T) {
 	a := newRouter(t, "a", secret)
 	m := Member{Name: "b", Peers: "127.0.0.1:1", Started: 1}
-	a.fleet.handleReport(&Report{From: m, Read: []PromptRead{{Key: 1}, {Key: 2}}, Last: 2}, time.Now())
+	a.fleet.handleReport(&Report{From: m, Prefixes: []CachedPrefix{{Key: 1}, {Key: 2}}, LastSeq: 2}, time.Now())
 	m.Started = 2
-	a.fleet.handleReport(&Report{From: m, Read: []PromptRead{{Key: 3}}, Last: 1}, time.Now())
+	a.fleet.handleReport(&Report{From: m, Prefixes: []CachedPrefix{{Key: 3}}, LastSeq: 1}, time.Now())
 	require.EqualValues(t, 1, a.fleet.peers[m.Peers].receivedSeq)
 	require.Len(t, a.received, 3)
 	m.Started = 1
-	a.fleet.handleReport(&Report{From: m, Last: 9}, time.Now())
+	a.fleet.handleReport(&Report{From: m, LastSeq: 9}, time.Now())
 	require.EqualValues(t, 1, a.fleet.peers[m.Peers].receivedSeq, "a delayed report of the earlier life is ignored")
 }
 
@@ -240,15 +240,15 @@
 func TestReportsAreAcceptedAfterAClockJumpedBack(t *testing.T) {
 	a := newRouter(t, "a", secret)
 	m := Member{Name: "b", Peers: "127.0.0.1:1", Started: 1000}
-	a.fleet.handleReport(&Report{From: m, Ready: true, Last: 9}, time.Now())
+	a.fleet.handleReport(&Report{From: m, Ready: true, LastSeq: 9}, time.Now())
 	a.fleet.peers[m.Peers].reportAt = time.Now().Add(-aliveTimeout)
 	old := m
 	m.Started = 10
 	for range 2 {
-		a.fleet.handleReport(&Report{From: m, Ready: true, Last: 1}, time.Now())
+		a.fleet.handleReport(&Report{From: m, Ready: true, LastSeq: 1}, time.Now())
 		require.Len(t, a.readyPeers(), 1)
 		require.EqualValues(t, 1, a.fleet.peers[m.Peers].receivedSeq)
-		a.fleet.Meet([]Member{old})
+		a.fleet.AddMembers([]Member{old})
 	}
 	require.EqualValues(t, 10, a.fleet.peers[m.Peers].member.Started)
 }
@@ -258,8 +258,8 @@
 // the transit time, or upstreams that have left would be used for ever.
 func TestListsAgeOnTheirWay(t *testing.T) {
 	a, b := newRouter(t, "a", secret), newRouter(t, "b", secret)
-	a.fleet.Meet([]Member{b.fleet.self})
-	a.duty.exchange(context.Background(), a.fleet.peers[b.fleet.self.Peers])
+	a.fleet.AddMembers([]Member{b.fleet.self})
+	a.exchanger.exchange(context.Background(), a.fleet.peers[b.fleet.self.Peers])
 	require.False(t, a.peerListAsOf.IsZero())
 	require.GreaterOrEqual(t, time.Since(a.peerListAsOf), listAge)
 	require.GreaterOrEqual(t, time.Since(b.peerListAsOf), listAge+maxRequestDelay, "a request may have waited")
--- a/pkg/fleet/hub_test.go
+++ b/pkg/fleet/hub_test.go
@@ -33,12 +33,12 @@
 		m := Member{Name: addr, Peers: addr, Callers: addr, Zone: fmt.Sprint(i % 3), Started: 1, Power: 0.2 + float64(i%4)/10}
 		r.fleet = New(m, r, discardLog)
 		r.fleet.SetSecret(secret)
-		r.loads = []InstanceLoad{{Instance: "common", Running: 1, Unread: 10}}
+		r.loads = []InstanceLoad{{Instance: "common", Running: 1, PrefillTokens: 10}}
 		c.routers[addr] = r
 		all = append(all, m)
 	}
 	for _, r := range c.routers {
-		r.fleet.Meet(all)
+		r.fleet.AddMembers(all)
 	}
 	return c
 }
@@ -52,7 +52,7 @@
 				continue
 			}
 			if c.requests {
-				r.fleet.Use(time.Now())
+				r.fleet.NoteRequest(time.Now())
 			}
 			for _, p := range r.fleet.duePeers(time.Now()) {
 				c.exchange(r, p)
@@ -124,7 +124,7 @@
 		c.run(4 * time.Second)
 		for _, r := range c.alive() {
 			require.Equal(t, n-1, r.others[LifeKey{Instance: "common"}].Running, r.fleet.self.Peers)
-			require.Equal(t, (n-1)*10, r.others[LifeKey{Instance: "common"}].Unread)
+			require.Equal(t, (n-1)*10, r.others[LifeKey{Instance: "common"}].PrefillTokens)
 			require.InDelta(t, 5*(n-1), r.uses["org"].Got, 1e-6)
 			require.Equal(t, n, r.fleet.Count())
 			require.Len(t, r.readyPeers(), n-1)
@@ -205,11 +205,11 @@
 		time.Sleep(2 * time.Second)
 		f := c.routers["10.0.0.4:1"].fleet
 		require.Equal(t, 1, f.Count())
-		named, known := f.Named()
+		named, known := f.RecentlyAlive()
 		require.GreaterOrEqual(t, len(named), 28)
 		require.Equal(t, 29, known)
 		time.Sleep(recentlyAliveTimeout)
-		named, _ = f.Named()
+		named, _ = f.RecentlyAlive()
 		require.Empty(t, named)
 	})
 }
@@ -221,11 +221,11 @@
 		c := newTestFleet(30)
 		c.run(4 * time.Second)
 		source := c.routers["10.0.0.4:1"]
-		source.newPrefixes = []PromptRead{{Key: 77, Instance: "i"}}
+		source.newPrefixes = []CachedPrefix{{Key: 77, Instance: "i"}}
 		c.run(2 * time.Second)
 		for _, r := range c.alive() {
 			if r != source {
-				require.Contains(t, r.received, PromptRead{Key: 77, Instance: "i"}, r.fleet.self.Peers)
+				require.Contains(t, r.received, CachedPrefix{Key: 77, Instance: "i"}, r.fleet.self.Peers)
 			}
 		}
 	})
--- a/pkg/fleet/idle.go
+++ b/pkg/fleet/idle.go
@@ -7,7 +7,7 @@
 
 // NoteRequest records that a request arrived. A router that was idle exchanges immediately, and
 // one that had no request since its last exchange does so sooner than planned.
-func (f *Fleet) Use(now time.Time) {
+func (f *Fleet) NoteRequest(now time.Time) {
 	at := int64(now.Sub(f.startedAt))
 	wasIdle := at-f.lastWorkAt.Swap(at) >= int64(idleAfter)
 	if f.newRequests.Add(1) == 1 || wasIdle {
@@ -38,6 +38,6 @@
 		}
 	}
 	if !f.role.direct && !f.role.hub && f.isIdle(now) {
-		r.PaceMs = memberIdleInterval.Milliseconds()
+		r.IntervalMs = memberIdleInterval.Milliseconds()
 	}
 }
--- a/pkg/fleet/inflow_test.go
+++ b/pkg/fleet/inflow_test.go
@@ -29,11 +29,11 @@
 
 func TestTotalsAddUpUnseenWork(t *testing.T) {
 	w := newTotals()
-	w.add(&Report{Inflows: []Inflow{{Service: "llm", Rate: 10, Unseen: 1, Spare: 4}}}, 1, 200*time.Millisecond)
+	w.add(&Report{Inflows: []Inflow{{Service: "llm", Rate: 10, Unseen: 1, OverShare: 4}}}, 1, 200*time.Millisecond)
 	w.add(&Report{Inflows: []Inflow{{Service: "llm", Rate: 20}}}, 1, 100*time.Millisecond)
 	require.Equal(t, 30.0, w.Inflows["llm"].Rate)
 	require.InDelta(t, 1+2+2, w.Inflows["llm"].Unseen, 1e-9)
-	require.Equal(t, 4.0, w.Inflows["llm"].Spare)
-	w.add(&Report{Inflows: []Inflow{{Service: "llm", Rate: 10, Unseen: 1, Spare: 4}}}, -1, 200*time.Millisecond)
+	require.Equal(t, 4.0, w.Inflows["llm"].OverShare)
+	w.add(&Report{Inflows: []Inflow{{Service: "llm", Rate: 10, Unseen: 1, OverShare: 4}}}, -1, 200*time.Millisecond)
 	require.InDelta(t, 2, w.Inflows["llm"].Unseen, 1e-9, "subtracting a report undoes adding it")
 }
--- a/pkg/fleet/interval_test.go
+++ b/pkg/fleet/interval_test.go
@@ -17,7 +17,7 @@
 		now := time.Now()
 		for _, r := range c.routers {
 			f := r.fleet
-			f.Use(now)
+			f.NoteRequest(now)
 			if f.role.hub {
 				require.Equal(t, checkInterval, f.nextCheckDelay(now))
 				continue
--- a/pkg/fleet/join.go
+++ b/pkg/fleet/join.go
@@ -49,9 +49,9 @@
 
 // Joiner finds the other routers through the registry.
 type Joiner struct {
-	fleet    *Fleet
-	duty     *Duty
-	registry Registry
+	fleet     *Fleet
+	exchanger *Exchanger
+	registry  Registry
 	// seeds are addresses of routers that may be alive.
 	seeds []string
 	// firstStart says that the whole fleet starts for the firstStart time.
@@ -70,8 +70,8 @@
 }
 
 // NewJoiner returns a joiner for e's fleet.
-func NewJoiner(d *Duty, r Registry, seeds []string, firstStart bool, l log.Interface) *Joiner {
-	return &Joiner{fleet: d.fleet, duty: d, registry: r, seeds: seeds, firstStart: firstStart, log: l, missing: make(missingRouters)}
+func NewJoiner(e *Exchanger, r Registry, seeds []string, firstStart bool, l log.Interface) *Joiner {
+	return &Joiner{fleet: e.fleet, exchanger: e, registry: r, seeds: seeds, firstStart: firstStart, log: l, missing: make(missingRouters)}
 }
 
 // Settled reports whether the list has been read, or the store has had listWait to answer.
@@ -204,7 +204,7 @@
 	j.listed = slices.ContainsFunc(list, func(m Member) bool {
 		return m.Peers == j.fleet.self.Peers && m.Name == j.fleet.self.Name && m.Callers == j.fleet.self.Callers
 	})
-	j.fleet.Meet(list)
+	j.fleet.AddMembers(list)
 	j.listRead.Store(true)
 }
 
@@ -231,7 +231,7 @@
 
 // secretFromSeed asks one seed for the secret.
 func (j *Joiner) secretFromSeed(ctx context.Context, addr string) []byte {
-	secret, err := j.duty.Secret(ctx, addr)
+	secret, err := j.exchanger.FetchSecret(ctx, addr)
 	if err != nil {
 		j.log.WithError(err).WithFields(log.Fields{"event": "seed_gives_nothing", "addr": addr}).Info("seed did not return the secret")
 		return nil
--- a/pkg/fleet/join_test.go
+++ b/pkg/fleet/join_test.go
@@ -90,7 +90,7 @@
 		power = 0.8
 	}
 	r.fleet = New(Member{Name: addr, Peers: addr, Callers: addr, Started: 1, Power: power}, r, discardLog)
-	return r, NewJoiner(NewDuty(r.fleet), registry, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, first, discardLog)
+	return r, NewJoiner(NewExchanger(r.fleet), registry, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, first, discardLog)
 }
 
 // 295 routers start at once. If each made two transactions and repeated the refused ones, the
@@ -203,7 +203,7 @@
 		}
 		r, _ := newJoining(200, false, nil)
 		r.fleet.SetSecret(secret)
-		r.fleet.Meet(list)
+		r.fleet.AddMembers(list)
 		require.Equal(t, 201, r.fleet.Count())
 		asked := r.fleet.duePeers(time.Now())
 		require.Less(t, len(asked), maxHubs)
@@ -230,7 +230,7 @@
 		}
 		idle := c.member("")
 		time.Sleep(memberFastInterval)
-		idle.fleet.Use(time.Now())
+		idle.fleet.NoteRequest(time.Now())
 		require.Len(t, idle.fleet.wake, 1)
 		require.NotEmpty(t, idle.fleet.duePeers(time.Now()), "a request makes it exchange immediately")
 	})
--- a/pkg/fleet/members.go
+++ b/pkg/fleet/members.go
@@ -9,7 +9,7 @@
 
 // digest returns a hash of a list of routers, their lives, states and configuration versions; the
 // order of the list does not matter.
-func digest(list []Entry) uint64 {
+func digest(list []MemberState) uint64 {
 	var sum uint64
 	for _, e := range list {
 		var state [17]byte
@@ -17,7 +17,7 @@
 		if e.Ready {
 			state[8] |= 1
 		}
-		if e.Pressed {
+		if e.CPUStarved {
 			state[8] |= 2
 		}
 		binary.LittleEndian.PutUint64(state[9:], uint64(e.Config))
@@ -34,16 +34,16 @@
 	if r.Digest == 0 {
 		return
 	}
-	if r.Digest != p.digest && len(r.Entries) == 0 {
+	if r.Digest != p.digest && len(r.Members) == 0 {
 		return // the list was lost; the hub sends it again, as our digest differs
 	}
 	validFor := groupTimeout
 	if f.isIdle(now) {
 		validFor += memberIdleInterval
 	}
-	isNew := len(r.Entries) > 0
+	isNew := len(r.Members) > 0
 	if isNew {
-		p.members, p.digest = r.Entries, r.Digest
+		p.members, p.digest = r.Members, r.Digest
 	}
 	for _, e := range p.members {
 		m := f.addMember(e.Member)
@@ -57,7 +57,7 @@
 		}
 		m.listedAt, m.listedFor = now, validFor
 		if !m.reportedRecently(now) {
-			m.ready, m.starved, m.config = e.Ready, e.Pressed, e.Config
+			m.ready, m.starved, m.config = e.Ready, e.CPUStarved, e.Config
 		}
 	}
 }
--- a/pkg/fleet/membership_test.go
+++ b/pkg/fleet/membership_test.go
@@ -14,7 +14,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &router{fleet: New(Member{Name: "a", Peers: "a"}, nil, discardLog)}
 		r.fleet.local = r
-		listed := func() bool { return len(r.fleet.Roster(time.Now()).Peers) == 2 }
+		listed := func() bool { return len(r.fleet.Membership(time.Now()).Peers) == 2 }
 		report := func(life int64) {
 			r.fleet.handleReport(&Report{From: Member{Name: "b", Peers: "b", Started: life}}, time.Now())
 		}
--- a/pkg/fleet/peer.go
+++ b/pkg/fleet/peer.go
@@ -46,7 +46,7 @@
 	// config is its configuration version, as far as is known.
 	config int64
 	// members are the routers that the peer, a hub, last listed, digest their digest.
-	members []Entry
+	members []MemberState
 	digest  uint64
 	// lacks is what the peer lacks, known since lacksSince, and pushedAt when that was last
 	// pushed to it.
@@ -109,6 +109,6 @@
 }
 
 // state is the peer as it appears on the member lists that this router sends.
-func (p *peer) state() Entry {
-	return Entry{Member: p.member, Ready: p.ready, Pressed: p.starved, Config: p.config}
+func (p *peer) state() MemberState {
+	return MemberState{Member: p.member, Ready: p.ready, CPUStarved: p.starved, Config: p.config}
 }
--- a/pkg/fleet/prefixlog.go
+++ b/pkg/fleet/prefixlog.go
@@ -9,11 +9,11 @@
 
 // prefixLog numbers its entries from 1 on.
 type prefixLog struct {
-	entries []PromptRead
+	entries []CachedPrefix
 	lastSeq uint64 // number of the newest entry
 }
 
-func (l *prefixLog) add(list []PromptRead) {
+func (l *prefixLog) add(list []CachedPrefix) {
 	l.entries = append(l.entries, list...)
 	l.lastSeq += uint64(len(list))
 	if over := len(l.entries) - prefixLogSize; over > 0 {
@@ -22,7 +22,7 @@
 }
 
 // after returns the entries that follow number seq, and the number of the last one returned.
-func (l *prefixLog) after(seq uint64) ([]PromptRead, uint64) {
+func (l *prefixLog) after(seq uint64) ([]CachedPrefix, uint64) {
 	first := l.lastSeq - uint64(len(l.entries)) // number before the oldest entry
 	if seq < first {
 		seq = first
@@ -34,5 +34,5 @@
 	if len(list) > maxPrefixes {
 		list = list[:maxPrefixes]
 	}
-	return append([]PromptRead(nil), list...), seq + uint64(len(list))
+	return append([]CachedPrefix(nil), list...), seq + uint64(len(list))
 }
--- a/pkg/fleet/prefixlog_test.go
+++ b/pkg/fleet/prefixlog_test.go
@@ -10,9 +10,9 @@
 func TestPrefixLogReturnsEntriesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l prefixLog
-		have, next, want := uint64(0), uint64(0), uint64(0)
+		seq, next, lastKey := uint64(0), uint64(0), uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			list := make([]PromptRead, rapid.IntRange(0, 300).Draw(t, "added"))
+			list := make([]CachedPrefix, rapid.IntRange(0, 300).Draw(t, "added"))
 			for i := range list {
 				next++
 				list[i].Key = next
@@ -21,38 +21,38 @@
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
-			got, last := l.after(have)
+			got, last := l.after(seq)
 			for _, r := range got {
-				if r.Key <= want {
-					t.Fatalf("entry %d follows entry %d", r.Key, want)
+				if r.Key <= lastKey {
+					t.Fatalf("entry %d follows entry %d", r.Key, lastKey)
 				}
-				want = r.Key
+				lastKey = r.Key
 			}
-			have = last
+			seq = last
 		}
 		for {
-			got, last := l.after(have)
+			got, last := l.after(seq)
 			if len(got) == 0 {
 				break
 			}
-			want, have = got[len(got)-1].Key, last
+			lastKey, seq = got[len(got)-1].Key, last
 		}
-		if next > 0 && want != next {
-			t.Fatalf("the last entry is %d, want %d", want, next)
+		if next > 0 && lastKey != next {
+			t.Fatalf("the last entry is %d, want %d", lastKey, next)
 		}
 	})
 }
 
 func TestPrefixLogDropsTheOldest(t *testing.T) {
 	var l prefixLog
-	l.add(make([]PromptRead, prefixLogSize+10))
+	l.add(make([]CachedPrefix, prefixLogSize+10))
 	got, last := l.after(0)
 	require.Len(t, got, maxPrefixes)
 	require.EqualValues(t, 10+maxPrefixes, last)
 }
 
 func FuzzDecode(f *testing.F) {
-	data, _ := encode(Report{From: Member{Name: "a"}, Read: []PromptRead{{Key: 1, Instance: "i", Life: 7}},
+	data, _ := encode(Report{From: Member{Name: "a"}, Prefixes: []CachedPrefix{{Key: 1, Instance: "i", Life: 7}},
 		Loads: []InstanceLoad{{Instance: "i", Life: 8, Running: 1}}}, secret)
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/pkg/fleet/push.go
+++ b/pkg/fleet/push.go
@@ -14,7 +14,7 @@
 	repushInterval = time.Second
 	// StaleListAge is the age from which on a peer's list of upstreams is replaced by a newer
 	// one.
-	ListOld = 250 * time.Millisecond
+	StaleListAge = 250 * time.Millisecond
 	// maxPushBytes bounds an update within a report. A peer fetches larger ones itself.
 	maxPushBytes = 128 << 10
 )
@@ -35,19 +35,19 @@
 	if theirs.Config < r.Config {
 		lacks.config = r.Config
 	}
-	if theirs.Instances < r.ListSince && time.Duration(theirs.ListAgeMs)*time.Millisecond > ListOld {
+	if theirs.Instances < r.ListSince && time.Duration(theirs.ListAgeMs)*time.Millisecond > StaleListAge {
 		lacks.list = r.ListSince
 	}
 	if !f.shouldPush(p, lacks, now) {
 		return
 	}
-	req := CatalogAsk{From: theirs.From.Name, Config: theirs.Config, Digest: theirs.ConfigDigest, Instances: math.MaxInt64, Packed: true}
+	req := CatalogRequest{From: theirs.From.Name, Config: theirs.Config, Digest: theirs.ConfigDigest, Instances: math.MaxInt64, Packed: true}
 	if lacks.list > 0 {
 		req.Instances = theirs.Instances
 	}
 	update := f.local.Catalog(req)
 	if len(update.Config)+len(update.Instances) <= maxPushBytes {
-		r.Given = &update
+		r.Update = &update
 	}
 }
 
@@ -73,8 +73,8 @@
 
 // applyUpdate passes on the update in a report that was created at createdAt or later.
 func (f *Fleet) applyUpdate(r *Report, createdAt time.Time) {
-	if r.Given != nil {
-		f.local.Take(r.From, r.Given, r.listAsOf(createdAt))
+	if r.Update != nil {
+		f.local.ApplyUpdate(r.From, r.Update, r.listAsOf(createdAt))
 	}
 }
 
--- a/pkg/fleet/report.go
+++ b/pkg/fleet/report.go
@@ -12,12 +12,12 @@
 	// Uses is the traffic that organisations request and receive.
 	Uses []Use `cbor:"4,keyasint,omitempty"`
 	// Prefixes are the newest entries of the sender's prefix log, up to number LastSeq.
-	Read []PromptRead `cbor:"5,keyasint,omitempty"`
-	Last uint64       `cbor:"6,keyasint,omitempty"`
+	Prefixes []CachedPrefix `cbor:"5,keyasint,omitempty"`
+	LastSeq  uint64         `cbor:"6,keyasint,omitempty"`
 	// AckSeq is the number of the last entry of the receiver's prefix log that the sender has,
 	// and AckLife the life of the receiver in which it was numbered.
-	Have   uint64 `cbor:"7,keyasint,omitempty"`
-	HaveOf int64  `cbor:"8,keyasint,omitempty"`
+	AckSeq  uint64 `cbor:"7,keyasint,omitempty"`
+	AckLife int64  `cbor:"8,keyasint,omitempty"`
 	// Others are other routers that are alive; AskOthers asks for those that the receiver knows.
 	Others    []Member `cbor:"9,keyasint,omitempty"`
 	AskOthers bool     `cbor:"13,keyasint,omitempty"`
@@ -33,7 +33,7 @@
 	// Pauses are the pauses of streams at the engines of services.
 	Pauses []Pauses `cbor:"23,keyasint,omitempty"`
 	// CPUStarved says that the router gets too little CPU for its requests.
-	Pressed bool `cbor:"22,keyasint,omitempty"`
+	CPUStarved bool `cbor:"22,keyasint,omitempty"`
 	// Inflows are the rates at which the routers assign work to the instances of services.
 	Inflows []Inflow `cbor:"24,keyasint,omitempty"`
 	// Scope says whose work Loads and Uses describe. AskAll makes the receiver the sender's hub:
@@ -41,16 +41,16 @@
 	Scope  Scope `cbor:"14,keyasint,omitempty"`
 	AskAll bool  `cbor:"15,keyasint,omitempty"`
 	// PrefixScope is the scope of the log that Prefixes come from, AckScope that of AckSeq.
-	ReadOf     Scope `cbor:"16,keyasint,omitempty"`
-	HaveReadOf Scope `cbor:"17,keyasint,omitempty"`
+	PrefixScope Scope `cbor:"16,keyasint,omitempty"`
+	AckScope    Scope `cbor:"17,keyasint,omitempty"`
 	// Members are the routers of the scope; left out when the receiver has the list with this
 	// Digest already. AckDigest is the digest of the list that the sender has from the receiver.
-	Entries    []Entry `cbor:"18,keyasint,omitempty"`
-	Digest     uint64  `cbor:"19,keyasint,omitempty"`
-	HaveDigest uint64  `cbor:"20,keyasint,omitempty"`
+	Members   []MemberState `cbor:"18,keyasint,omitempty"`
+	Digest    uint64        `cbor:"19,keyasint,omitempty"`
+	AckDigest uint64        `cbor:"20,keyasint,omitempty"`
 	// IntervalMs is the time until the sender's next report in milliseconds, where it is longer
 	// than that of a router with work.
-	PaceMs int64 `cbor:"25,keyasint,omitempty"`
+	IntervalMs int64 `cbor:"25,keyasint,omitempty"`
 	// Evacuated are the availability zones whose upstreams are assigned no work, as of revision
 	// EvacuatedAt of the store; 0 while the sender does not know.
 	Evacuated   []string `cbor:"26,keyasint,omitempty"`
@@ -70,7 +70,7 @@
 	ConfigDigest uint64 `cbor:"32,keyasint,omitempty"`
 	ListSince    int64  `cbor:"33,keyasint,omitempty"`
 	// Update is what the receiver lacks of the sender's configuration and list.
-	Given *CatalogGiven `cbor:"34,keyasint,omitempty"`
+	Update *CatalogUpdate `cbor:"34,keyasint,omitempty"`
 }
 
 // RestoredZone is an availability zone that is no longer evacuated.
@@ -96,36 +96,36 @@
 )
 
 // MemberState is a router's state as its hub knows it.
-type Entry struct {
+type MemberState struct {
 	Member Member `cbor:"1,keyasint"`
 	Ready  bool   `cbor:"2,keyasint,omitempty"`
 	// CPUStarved says that it gets too little CPU for its requests.
-	Pressed bool `cbor:"3,keyasint,omitempty"`
+	CPUStarved bool `cbor:"3,keyasint,omitempty"`
 	// Config is the version of the configuration in use, as last reported.
 	Config int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // InstanceLoad is the work in flight on one instance in one of its lives.
 type InstanceLoad struct {
-	Instance string `cbor:"1,keyasint"`
-	Running  int    `cbor:"2,keyasint"`
-	Unread   int    `cbor:"3,keyasint,omitempty"`
-	Memory   int    `cbor:"4,keyasint,omitempty"`
+	Instance      string `cbor:"1,keyasint"`
+	Running       int    `cbor:"2,keyasint"`
+	PrefillTokens int    `cbor:"3,keyasint,omitempty"`
+	KVTokens      int    `cbor:"4,keyasint,omitempty"`
 	// Life identifies the instance's life, as upstream.Life does: work in an earlier one is no
 	// load of the current one.
 	Life uint32 `cbor:"5,keyasint,omitempty"`
 	// PauseWeight is the weight of the streams that a long pause would make late, LongPrompts the
 	// number of prompts still to prefill that cause such a pause.
-	Fragile int `cbor:"6,keyasint,omitempty"`
-	Long    int `cbor:"7,keyasint,omitempty"`
-	// ExpectedMs and MeasuredMs are the sums of the expected and the measured prefill times over
+	PauseWeight int `cbor:"6,keyasint,omitempty"`
+	LongPrompts int `cbor:"7,keyasint,omitempty"`
+	// BaseMs and ActualMs are the sums of the expected and the actual prefill times over
 	// the last seconds, in milliseconds.
-	ExpectedMs int `cbor:"8,keyasint,omitempty"`
-	SeenMs     int `cbor:"9,keyasint,omitempty"`
+	BaseMs   int `cbor:"8,keyasint,omitempty"`
+	ActualMs int `cbor:"9,keyasint,omitempty"`
 }
 
 // empty reports whether the load carries no information.
-func (l InstanceLoad) empty() bool { return l.Running <= 0 && l.ExpectedMs <= 0 }
+func (l InstanceLoad) empty() bool { return l.Running <= 0 && l.BaseMs <= 0 }
 
 // Pauses are pauses of streams at the engines of a service while prompts were prefilled there.
 type Pauses struct {
@@ -160,7 +160,7 @@
 	// router's own work.
 	Unseen float64 `cbor:"3,keyasint,omitempty"`
 	// OverShare is the number of requests per second of organisations over their fair share.
-	Spare float64 `cbor:"4,keyasint,omitempty"`
+	OverShare float64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Use is an organisation's traffic at one router, in tokens per second.
@@ -171,7 +171,7 @@
 }
 
 // CachedPrefix says that an engine has prefilled the beginning of a prompt.
-type PromptRead struct {
+type CachedPrefix struct {
 	Key      uint64 `cbor:"1,keyasint"`
 	Instance string `cbor:"2,keyasint"`
 	// Life is the instance's life in which it did so, see InstanceLoad.
--- a/pkg/fleet/secret.go
+++ b/pkg/fleet/secret.go
@@ -12,12 +12,12 @@
 const SecretPath = "/fleet/secret"
 
 // FetchSecret asks the peer at addr for the fleet's secret.
-func (d *Duty) Secret(ctx context.Context, addr string) ([]byte, error) {
+func (e *Exchanger) FetchSecret(ctx context.Context, addr string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+SecretPath, nil)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	resp, err := d.http.Do(req)
+	resp, err := e.http.Do(req)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
--- a/pkg/fleet/serve.go
+++ b/pkg/fleet/serve.go
@@ -23,7 +23,7 @@
 }
 
 func (f *Fleet) serveCatalog(w http.ResponseWriter, in *http.Request) {
-	req := new(CatalogAsk)
+	req := new(CatalogRequest)
 	if f.readMessage(w, in, req) {
 		f.writeMessage(w, f.local.Catalog(*req))
 	}
--- a/pkg/fleet/starved_test.go
+++ b/pkg/fleet/starved_test.go
@@ -75,14 +75,14 @@
 			r := &router{reported: make(chan struct{}, 1), starved: starved}
 			r.fleet = New(Member{Name: "a", Peers: "a", Started: 1}, r, discardLog)
 			r.fleet.SetSecret(secret)
-			r.duty = NewDuty(r.fleet)
-			r.duty.http.Transport = slowPeer(answersAfter)
-			r.fleet.Meet([]Member{{Name: "b", Peers: "b", Started: 1}})
+			r.exchanger = NewExchanger(r.fleet)
+			r.exchanger.http.Transport = slowPeer(answersAfter)
+			r.fleet.AddMembers([]Member{{Name: "b", Peers: "b", Started: 1}})
 			p := r.fleet.duePeers(time.Now())[0]
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				r.duty.exchange(t.Context(), p)
+				r.exchanger.exchange(t.Context(), p)
 			}()
 			time.Sleep(exchangeTimeout)
 			synctest.Wait()
@@ -131,9 +131,9 @@
 	r := &router{reported: make(chan struct{}, 1)}
 	r.fleet = New(Member{Name: "a", Peers: "a", Started: 1}, r, discardLog)
 	r.fleet.SetSecret(secret)
-	r.duty = NewDuty(r.fleet)
-	r.duty.http.Transport = p
-	r.fleet.Meet([]Member{{Name: "b", Peers: "b", Started: 1}})
+	r.exchanger = NewExchanger(r.fleet)
+	r.exchanger.http.Transport = p
+	r.fleet.AddMembers([]Member{{Name: "b", Peers: "b", Started: 1}})
 	return r, r.fleet.peers["b"]
 }
 
@@ -146,8 +146,8 @@
 			return Report{From: Member{Name: "b", Peers: "b", Started: 1}, Clock: clock.Add(1), Ready: true}
 		}})
 		ctx, end := context.WithCancel(t.Context())
-		var duty sync.WaitGroup
-		duty.Go(func() { r.duty.Run(ctx) })
+		var running sync.WaitGroup
+		running.Go(func() { r.exchanger.Run(ctx) })
 		time.Sleep(4 * exchangeTimeout)
 		for range 20 {
 			time.Sleep(aliveTimeout / 2)
@@ -157,7 +157,7 @@
 			r.fleet.mu.Unlock()
 		}
 		end()
-		duty.Wait()
+		running.Wait()
 		time.Sleep(requestTimeout)
 	})
 }
--- a/pkg/fleet/sums_test.go
+++ b/pkg/fleet/sums_test.go
@@ -32,7 +32,7 @@
 			r := c.routers[addr]
 			r.mu.Lock()
 			if r.loads = nil; random.IntN(2) == 0 {
-				r.loads = []InstanceLoad{{Instance: "common", Running: 1, Unread: 10}}
+				r.loads = []InstanceLoad{{Instance: "common", Running: 1, PrefillTokens: 10}}
 			}
 			r.mu.Unlock()
 		}
--- a/pkg/fleet/totals.go
+++ b/pkg/fleet/totals.go
@@ -13,63 +13,63 @@
 
 // Totals is the combined work of several routers: work in flight, traffic, pauses of streams, and
 // the work that they assign to the instances of services.
-type Work struct {
+type Totals struct {
 	Loads   map[LifeKey]InstanceLoad
 	Uses    map[string]Use
 	Pauses  map[string]Pauses
 	Inflows map[string]Inflow
 }
 
-func newTotals() Work {
-	return Work{Loads: make(map[LifeKey]InstanceLoad), Uses: make(map[string]Use), Pauses: make(map[string]Pauses), Inflows: make(map[string]Inflow)}
+func newTotals() Totals {
+	return Totals{Loads: make(map[LifeKey]InstanceLoad), Uses: make(map[string]Use), Pauses: make(map[string]Pauses), Inflows: make(map[string]Inflow)}
 }
 
 // add adds the work in r, a report that arrived age ago, sign times: 1 adds it, -1 subtracts it.
-func (w Work) add(r *Report, sign int, age time.Duration) {
+func (t Totals) add(r *Report, sign int, age time.Duration) {
 	for _, f := range r.Inflows {
-		total := w.Inflows[f.Service]
+		total := t.Inflows[f.Service]
 		total.Service = f.Service
 		total.Rate += float64(sign) * f.Rate
-		total.Spare += float64(sign) * f.Spare
+		total.OverShare += float64(sign) * f.OverShare
 		total.Unseen += float64(sign) * (f.Unseen + f.Rate*age.Seconds())
-		w.Inflows[f.Service] = total
+		t.Inflows[f.Service] = total
 	}
 	for _, l := range r.Loads {
 		key := LifeKey{Instance: l.Instance, Life: l.Life}
-		total := w.Loads[key]
+		total := t.Loads[key]
 		total.Instance, total.Life = l.Instance, l.Life
 		total.Running += sign * l.Running
-		total.Unread += sign * l.Unread
-		total.Memory += sign * l.Memory
-		total.Fragile += sign * l.Fragile
-		total.Long += sign * l.Long
-		total.ExpectedMs += sign * l.ExpectedMs
-		total.SeenMs += sign * l.SeenMs
-		w.Loads[key] = total
+		total.PrefillTokens += sign * l.PrefillTokens
+		total.KVTokens += sign * l.KVTokens
+		total.PauseWeight += sign * l.PauseWeight
+		total.LongPrompts += sign * l.LongPrompts
+		total.BaseMs += sign * l.BaseMs
+		total.ActualMs += sign * l.ActualMs
+		t.Loads[key] = total
 	}
 	for _, u := range r.Uses {
-		total := w.Uses[u.Organisation]
+		total := t.Uses[u.Organisation]
 		total.Organisation = u.Organisation
 		total.Asked += float64(sign) * u.Asked
 		total.Got += float64(sign) * u.Got
-		w.Uses[u.Organisation] = total
+		t.Uses[u.Organisation] = total
 	}
 	for _, p := range r.Pauses {
-		w.Pauses[p.Service] = w.Pauses[p.Service].plus(p, sign)
+		t.Pauses[p.Service] = t.Pauses[p.Service].plus(p, sign)
 	}
 }
 
 // clone returns a copy that shares nothing with the original but the pauses' slices, which are never
 // changed.
-func (w Work) clone() Work {
-	return Work{Loads: maps.Clone(w.Loads), Uses: maps.Clone(w.Uses), Pauses: maps.Clone(w.Pauses), Inflows: maps.Clone(w.Inflows)}
+func (t Totals) clone() Totals {
+	return Totals{Loads: maps.Clone(t.Loads), Uses: maps.Clone(t.Uses), Pauses: maps.Clone(t.Pauses), Inflows: maps.Clone(t.Inflows)}
 }
 
 // advance ages the totals by d.
-func (w Work) advance(d time.Duration) {
-	for service, f := range w.Inflows {
+func (t Totals) advance(d time.Duration) {
+	for service, f := range t.Inflows {
 		f.Unseen += f.Rate * d.Seconds()
-		w.Inflows[service] = f
+		t.Inflows[service] = f
 	}
 }
 
@@ -78,24 +78,24 @@
 const minUse = 0.5
 
 // fill sets the work in r to the totals.
-func (w Work) fill(r *Report) {
+func (t Totals) fill(r *Report) {
 	r.Loads, r.Uses, r.Pauses, r.Inflows = nil, nil, nil, nil
-	for _, f := range w.Inflows {
+	for _, f := range t.Inflows {
 		if f.Rate > 0 {
 			r.Inflows = append(r.Inflows, f)
 		}
 	}
-	for _, l := range w.Loads {
+	for _, l := range t.Loads {
 		if !l.empty() {
 			r.Loads = append(r.Loads, l)
 		}
 	}
-	for _, u := range w.Uses {
+	for _, u := range t.Uses {
 		if u.Asked >= minUse || u.Got >= minUse {
 			r.Uses = append(r.Uses, u)
 		}
 	}
-	for _, p := range w.Pauses {
+	for _, p := range t.Pauses {
 		r.Pauses = append(r.Pauses, p)
 	}
 }
@@ -110,7 +110,7 @@
 // A CPU-starved router misses its hub's reports for seconds, while one or two other routers
 // report to it. If these were taken for the whole fleet, an organisation that receives many times
 // its fair share would seem to receive just that, and would be served at the cost of all others.
-func (f *Fleet) othersTotals(now time.Time) Work {
+func (f *Fleet) othersTotals(now time.Time) Totals {
 	age := now.Sub(f.hubReportAt)
 	if f.hubReport == nil || age >= hubUsesMaxAge || f.role.hub {
 		return f.sumReports(now)
@@ -138,7 +138,7 @@
 // routers that took each other for hubs would each count what the other counted, without end.
 //
 // The result is shared and must not be changed.
-func (f *Fleet) sumReports(now time.Time) Work {
+func (f *Fleet) sumReports(now time.Time) Totals {
 	if age := now.Sub(f.sumAt); !f.role.direct && age >= 0 && age < sumMaxAge {
 		return f.sum
 	}
@@ -155,7 +155,7 @@
 }
 
 // sumWithout returns the sum of all reports but p's, as a copy that the caller may change.
-func (f *Fleet) sumWithout(p *peer, now time.Time) Work {
+func (f *Fleet) sumWithout(p *peer, now time.Time) Totals {
 	total := f.sumReports(now).clone()
 	total.advance(now.Sub(f.sumAt))
 	if p.inSum != nil {
@@ -165,7 +165,7 @@
 }
 
 // sumGroup adds up the work of the members whose hub this router is.
-func (f *Fleet) sumGroup(now time.Time) Work {
+func (f *Fleet) sumGroup(now time.Time) Totals {
 	total := newTotals()
 	for _, p := range f.peers {
 		if p.report != nil && p.inGroup(now) {
@@ -178,17 +178,17 @@
 // memberList is a list of routers with its digest, as of one moment.
 type memberList struct {
 	at     time.Time
-	list   []Entry
+	list   []MemberState
 	digest uint64
 }
 
 // membersOf returns the routers of a scope, which must not be changed, and their digest.
-func (f *Fleet) membersOf(scope Scope, self Entry, now time.Time) ([]Entry, uint64) {
+func (f *Fleet) membersOf(scope Scope, self MemberState, now time.Time) ([]MemberState, uint64) {
 	cached := &f.memberLists[scope]
 	if age := now.Sub(cached.at); age >= 0 && age < sumMaxAge {
 		return cached.list, cached.digest
 	}
-	list := make([]Entry, 1, len(cached.list)+1)
+	list := make([]MemberState, 1, len(cached.list)+1)
 	list[0] = self
 	for _, p := range f.peers {
 		if scope == ScopeGroup && p.inGroup(now) || scope == ScopeAll && p.alive(now) {
--- a/pkg/gateway/fake_test.go
+++ b/pkg/gateway/fake_test.go
@@ -70,7 +70,7 @@
 
 func (onePeer) Count() int { return 1 }
 
-func (onePeer) Use(time.Time) {}
+func (onePeer) NoteRequest(time.Time) {}
 
 // world is a gateway before fake upstreams.
 type world struct {
--- a/pkg/gateway/handle.go
+++ b/pkg/gateway/handle.go
@@ -22,7 +22,7 @@
 	defer r.release()
 	defer g.record(r)
 	g.departures.look(r.start)
-	g.peers.Use(r.start)
+	g.peers.NoteRequest(r.start)
 	crowded := g.crowded()
 	if crowded && callerLeft(in.Context()) {
 		g.hangUp(r) // the processor is too scarce to prepare what nobody waits for
--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -6,6 +6,6 @@
 type Peers interface {
 	// Count is how many they are, this one included.
 	Count() int
-	// Use notes that this router got a request.
-	Use(now time.Time)
+	// NoteRequest notes that this router got a request.
+	NoteRequest(now time.Time)
 }
--- a/pkg/gatewayd/catchup.go
+++ b/pkg/gatewayd/catchup.go
@@ -26,8 +26,8 @@
 )
 
 // Catalog gives another router what it lacks.
-func (t *telling) Catalog(ask fleet.CatalogAsk) fleet.CatalogGiven {
-	var given fleet.CatalogGiven
+func (t *telling) Catalog(ask fleet.CatalogRequest) fleet.CatalogUpdate {
+	var given fleet.CatalogUpdate
 	if table := t.catalog.Table(); table != nil && table.Config.Version > ask.Config {
 		t.giveConfig(&given, table.Config, ask)
 	}
@@ -43,7 +43,7 @@
 	return given
 }
 
-func (t *telling) giveConfig(given *fleet.CatalogGiven, cfg *routing.Config, ask fleet.CatalogAsk) {
+func (t *telling) giveConfig(given *fleet.CatalogUpdate, cfg *routing.Config, ask fleet.CatalogRequest) {
 	if !ask.Packed {
 		given.PlainConfig = cfg
 		return
@@ -55,7 +55,7 @@
 }
 
 // giveList gives the list that has been the same since a revision.
-func (t *telling) giveList(given *fleet.CatalogGiven, set *upstream.Set, since int64, packed bool) {
+func (t *telling) giveList(given *fleet.CatalogUpdate, set *upstream.Set, since int64, packed bool) {
 	if !packed {
 		given.PlainInstances = set.List()
 		return
@@ -74,8 +74,8 @@
 	t.log.WithError(err).WithField("event", "catalog_unpacked").Error("catalog can't be given to peers or read")
 }
 
-// Take takes what a peer gave.
-func (t *telling) Take(peer fleet.Member, given *fleet.CatalogGiven, asOf time.Time) {
+// ApplyUpdate takes what a peer gave.
+func (t *telling) ApplyUpdate(peer fleet.Member, given *fleet.CatalogUpdate, asOf time.Time) {
 	source := "peer " + peer.Name
 	if given.PlainConfig != nil {
 		t.catalog.Adopt(given.PlainConfig, source)
@@ -104,7 +104,7 @@
 }
 
 // catchUp asks peers for what reports don't bring, until ctx ends.
-func (t *telling) catchUp(ctx context.Context, duty *fleet.Duty) {
+func (t *telling) catchUp(ctx context.Context, duty *fleet.Exchanger) {
 	var asks sync.WaitGroup
 	defer asks.Wait()
 	asked := make(chan struct{}, mostAsked)
@@ -131,12 +131,12 @@
 	}
 }
 
-func (t *telling) askPeer(ctx context.Context, duty *fleet.Duty, n newer) {
+func (t *telling) askPeer(ctx context.Context, duty *fleet.Exchanger, n newer) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	ask := fleet.CatalogAsk{Config: t.catalog.Version(), Digest: t.digest(), Instances: int64(t.catalog.InstancesRevision())}
+	ask := fleet.CatalogRequest{Config: t.catalog.Version(), Digest: t.digest(), Instances: int64(t.catalog.InstancesRevision())}
 	asked := time.Now()
-	given, err := duty.Catalog(ctx, n.peer.Peers, ask)
+	given, err := duty.FetchCatalog(ctx, n.peer.Peers, ask)
 	fields := log.Fields{"event": "caught_up", "peer": n.peer.Name, "config": ask.Config, "peer_config": n.config, "waited_ms": time.Since(asked).Milliseconds()}
 	if err != nil {
 		fields["event"] = "catch_up_failed"
@@ -146,7 +146,7 @@
 	if given.Config != nil || given.PlainConfig != nil {
 		t.log.WithFields(fields).Info("peer gives a configuration")
 	}
-	t.Take(n.peer, given, n.asOf)
+	t.ApplyUpdate(n.peer, given, n.asOf)
 }
 
 // digest is that of the configuration in force; 0 without one.
--- a/pkg/gatewayd/cost_bench_test.go
+++ b/pkg/gatewayd/cost_bench_test.go
@@ -115,12 +115,12 @@
 	}}, logger.WithField("router", s.Router.Name))
 	require.NoError(b, err)
 	for i := range benchRouters {
-		p.fleet.Meet([]fleet.Member{{Name: fmt.Sprint("router-", i), Peers: fmt.Sprintf("10.0.%d.1:7400", i)}})
+		p.fleet.AddMembers([]fleet.Member{{Name: fmt.Sprint("router-", i), Peers: fmt.Sprintf("10.0.%d.1:7400", i)}})
 	}
 	p.catalog.Adopt(benchConfig(), "bench")
 	p.catalog.Replace(benchInstances(engine), 1, time.Now(), "bench")
 	loads, uses := benchLoads(full)
-	p.telling.Work(fleet.Work{Loads: loads, Uses: uses})
+	p.telling.SetOthers(fleet.Totals{Loads: loads, Uses: uses})
 	go p.serve(p.faces[0])
 	b.Cleanup(func() { p.faces[0].server.Close() })
 	return p
@@ -155,7 +155,7 @@
 	if full {
 		for i := range benchEngines {
 			id := fmt.Sprintf("i-%08x", i)
-			loads[fleet.LifeKey{Instance: id}] = fleet.InstanceLoad{Instance: id, Running: benchSlots + i%3, Unread: 20_000, Memory: 50_000}
+			loads[fleet.LifeKey{Instance: id}] = fleet.InstanceLoad{Instance: id, Running: benchSlots + i%3, PrefillTokens: 20_000, KVTokens: 50_000}
 		}
 	}
 	for i := range benchOrganisations {
--- a/pkg/gatewayd/documents_test.go
+++ b/pkg/gatewayd/documents_test.go
@@ -74,10 +74,10 @@
 	giver.catalog.Adopt(versionOf(4, "new"), "store")
 	giver.catalog.Replace([]upstream.Instance{instanceBorn(1)}, 9, time.Now(), "store")
 	for _, packed := range []bool{false, true} {
-		given := giver.telling.Catalog(fleet.CatalogAsk{Packed: packed})
+		given := giver.telling.Catalog(fleet.CatalogRequest{Packed: packed})
 		require.Equal(t, !packed, given.PlainConfig != nil)
 		require.Equal(t, packed, given.Config != nil)
-		reader.telling.Take(fleet.Member{Name: "giver"}, &given, time.Now())
+		reader.telling.ApplyUpdate(fleet.Member{Name: "giver"}, &given, time.Now())
 		require.EqualValues(t, 4, reader.catalog.Version())
 		require.NotNil(t, reader.present())
 		reader = newLifeWorld()
@@ -88,7 +88,7 @@
 // give an older one.
 func TestAListIsPackedOnceForAllWhoLackIt(t *testing.T) {
 	w := newLifeWorld()
-	ask := fleet.CatalogAsk{Packed: true}
+	ask := fleet.CatalogRequest{Packed: true}
 	w.catalog.Replace([]upstream.Instance{instanceBorn(1)}, 9, time.Now(), "store")
 	first := w.telling.Catalog(ask)
 	w.catalog.Apply(nil, 9, 12, time.Now(), "store")
--- a/pkg/gatewayd/entries.go
+++ b/pkg/gatewayd/entries.go
@@ -12,21 +12,21 @@
 
 // entries gives the addresses that callers may use.
 func (p *Process) entries(string) []string {
-	candidates, known := p.fleet.Named()
+	candidates, known := p.fleet.RecentlyAlive()
 	if len(candidates) == 0 && known > smallFleet {
 		return nil // cut off from a large fleet: others can tell callers more
 	}
-	candidates = append(candidates, fleet.Entry{Member: p.fleet.Self(), Ready: p.gateway.Ready(), Pressed: p.pressure.pressed()})
+	candidates = append(candidates, fleet.MemberState{Member: p.fleet.Self(), Ready: p.gateway.Ready(), CPUStarved: p.pressure.pressed()})
 	return sample(addresses(calm(strongest(ready(candidates)))))
 }
 
-func ready(list []fleet.Entry) []fleet.Entry {
-	return slices.DeleteFunc(list, func(e fleet.Entry) bool { return !e.Ready })
+func ready(list []fleet.MemberState) []fleet.MemberState {
+	return slices.DeleteFunc(list, func(e fleet.MemberState) bool { return !e.Ready })
 }
 
 // calm leaves out routers that get too little processor, unless that is most of them.
-func calm(list []fleet.Entry) []fleet.Entry {
-	rest := slices.DeleteFunc(slices.Clone(list), func(e fleet.Entry) bool { return e.Pressed })
+func calm(list []fleet.MemberState) []fleet.MemberState {
+	rest := slices.DeleteFunc(slices.Clone(list), func(e fleet.MemberState) bool { return e.CPUStarved })
 	if 2*len(rest) < len(list) {
 		return list
 	}
@@ -47,7 +47,7 @@
 // Guard: callers choose among the addresses by chance, and hosts of a large fleet are
 // unequal. The smallest would get as much as those with four times their processor, and
 // fall behind. The strong ones bear all callers; when most of them are pressed, all do.
-func strongest(list []fleet.Entry) []fleet.Entry {
+func strongest(list []fleet.MemberState) []fleet.MemberState {
 	if len(list) <= smallFleet {
 		return list
 	}
@@ -55,14 +55,14 @@
 	for _, e := range list {
 		most = max(most, e.Member.Power)
 	}
-	var named []fleet.Entry
+	var named []fleet.MemberState
 	rested := 0
 	for _, e := range list {
 		if e.Member.Power < strong*most {
 			continue
 		}
 		named = append(named, e)
-		if !e.Pressed {
+		if !e.CPUStarved {
 			rested++
 		}
 	}
@@ -72,7 +72,7 @@
 	return named
 }
 
-func addresses(list []fleet.Entry) []string {
+func addresses(list []fleet.MemberState) []string {
 	addrs := make([]string, 0, len(list))
 	for _, e := range list {
 		addrs = append(addrs, e.Member.Callers)
--- a/pkg/gatewayd/entries_test.go
+++ b/pkg/gatewayd/entries_test.go
@@ -34,10 +34,10 @@
 // One router gets too little processor. Callers must not be sent there while others do
 // well; when most are short of it, all must bear their part.
 func TestPressedRoutersAreNoEntries(t *testing.T) {
-	list := []fleet.Entry{entryOf("a", 1), entryOf("b", 1), entryOf("c", 1)}
-	list[1].Pressed = true
+	list := []fleet.MemberState{entryOf("a", 1), entryOf("b", 1), entryOf("c", 1)}
+	list[1].CPUStarved = true
 	require.Equal(t, []string{"a", "c"}, addresses(calm(list)))
-	list[0].Pressed = true
+	list[0].CPUStarved = true
 	require.Equal(t, []string{"a", "b", "c"}, addresses(calm(list)))
 	list[2].Ready = false
 	require.Equal(t, []string{"a", "b"}, addresses(ready(list)))
@@ -46,7 +46,7 @@
 // Hosts of a large fleet are unequal. Small ones must not get as much as those with four
 // times their processor; when the strong ones have none to spare, all must bear their part.
 func TestCallersOfALargeFleetAreSentToStrongRouters(t *testing.T) {
-	var list []fleet.Entry
+	var list []fleet.MemberState
 	for i := range 40 {
 		power := 0.2
 		if i < 10 {
@@ -60,7 +60,7 @@
 	require.Len(t, strongest(list[:smallFleet]), smallFleet, "a small fleet needs all")
 	require.Len(t, strongest(list[5:]), 35, "five are too few")
 	for i := range 3 {
-		list[i].Pressed = true
+		list[i].CPUStarved = true
 	}
 	require.Len(t, strongest(list), 40, "seven are too few")
 	for i := range list {
@@ -69,8 +69,8 @@
 	require.Len(t, strongest(list), 40, "nothing is known of them")
 }
 
-func entryOf(name string, power float64) fleet.Entry {
-	return fleet.Entry{Member: fleet.Member{Callers: name, Power: power}, Ready: true}
+func entryOf(name string, power float64) fleet.MemberState {
+	return fleet.MemberState{Member: fleet.Member{Callers: name, Power: power}, Ready: true}
 }
 
 // Nobody reads the log for a while. The engineer who reads it later must see the gap.
--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -60,10 +60,10 @@
 // handoverTargets gives the routers that take connections: those of the own zone, or others
 // where that has none. One that is late itself takes none, nor one with an older configuration.
 func (p *Process) handoverTargets() []handover.Target {
-	named, _ := p.fleet.Named()
+	named, _ := p.fleet.RecentlyAlive()
 	var near, far []handover.Target
 	for _, e := range named {
-		if !e.Ready || e.Pressed || e.Member.Handover == "" || e.Config < p.catalog.Version() {
+		if !e.Ready || e.CPUStarved || e.Member.Handover == "" || e.Config < p.catalog.Version() {
 			continue
 		}
 		target := handover.Target{Addr: e.Member.Handover, Power: e.Member.Power, Config: e.Config}
--- a/pkg/gatewayd/housekeeping.go
+++ b/pkg/gatewayd/housekeeping.go
@@ -19,7 +19,7 @@
 			p.holdings.Prune(now)
 			p.health.Prune(p.catalog.Instances())
 			p.telling.ledger.Prune(p.catalog.Instances())
-			p.fleet.Roster(now) // notices when this router sees little of its fleet
+			p.fleet.Membership(now) // notices when this router sees little of its fleet
 			p.dropped.tell()
 			p.calls.tell()
 			p.link.tell()
--- a/pkg/gatewayd/life_test.go
+++ b/pkg/gatewayd/life_test.go
@@ -41,10 +41,10 @@
 var chain = []placement.Link{{Key: 7, Tokens: 100}}
 
 // told gives a peer's report of work at a life and of a prompt that it has read.
-func told(in upstream.Instance) (map[fleet.LifeKey]fleet.InstanceLoad, []fleet.PromptRead) {
+func told(in upstream.Instance) (map[fleet.LifeKey]fleet.InstanceLoad, []fleet.CachedPrefix) {
 	start := in.Life().Start
-	return map[fleet.LifeKey]fleet.InstanceLoad{{Instance: "i", Life: start}: {Instance: "i", Life: start, Running: 3, Unread: 50}},
-		[]fleet.PromptRead{{Key: 7, Instance: "i", Life: start}}
+	return map[fleet.LifeKey]fleet.InstanceLoad{{Instance: "i", Life: start}: {Instance: "i", Life: start, Running: 3, PrefillTokens: 50}},
+		[]fleet.CachedPrefix{{Key: 7, Instance: "i", Life: start}}
 }
 
 // changesOf gives what the store tells of the revisions after after up to rev: the first life is
@@ -90,11 +90,11 @@
 				}
 			case "load":
 				l, _ := told(of)
-				w.telling.Work(fleet.Work{Loads: l})
+				w.telling.SetOthers(fleet.Totals{Loads: l})
 				loads = of.Life()
 			case "read":
 				_, list := told(of)
-				w.telling.Learn(list)
+				w.telling.AddPrefixes(list)
 				reads[of.Life()] = true
 			case "fail":
 				w.health.Observe(of.Life(), upstream.Silent, now)
--- a/pkg/gatewayd/linkworld_test.go
+++ b/pkg/gatewayd/linkworld_test.go
@@ -32,7 +32,7 @@
 	catalog *catalog.Catalog
 	telling *telling
 	fleet   *fleet.Fleet
-	duty    *fleet.Duty
+	duty    *fleet.Exchanger
 	face    *http.Server
 }
 
@@ -61,7 +61,7 @@
 	}
 	for _, m := range members {
 		r := w.router(m)
-		r.fleet.Meet(members)
+		r.fleet.AddMembers(members)
 		w.routers = append(w.routers, r)
 	}
 	w.config.Organisations = []routing.Organisation{{Name: "org", Keys: []string{w.word(20)}}}
@@ -79,7 +79,7 @@
 		log: quiet, behind: make(chan newer, 1)}
 	r.fleet = fleet.New(m, r.telling, quiet)
 	r.fleet.SetSecret([]byte("secret"))
-	r.duty = fleet.NewDuty(r.fleet)
+	r.duty = fleet.NewExchanger(r.fleet)
 	r.duty.DialWith(w.network.Dial(r.host))
 	r.face = &http.Server{Handler: r.fleet.Handler()}
 	return r
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -68,7 +68,7 @@
 	warmup    *warmup.Gate
 	telling   *telling
 	fleet     *fleet.Fleet
-	exchange  *fleet.Duty
+	exchange  *fleet.Exchanger
 	// asked counts what other routers ask of this one.
 	asked   traffic.Meter
 	joiner  *fleet.Joiner
@@ -110,7 +110,7 @@
 		ready: func() bool { return p.gateway.Ready() }, pressed: p.pressure.pressed, log: l, behind: make(chan newer, 1)}
 	p.crowd.limit.Store(int64(s.Limits.KeptConnections))
 	p.fleet = fleet.New(member(s), p.telling, l)
-	p.exchange = fleet.NewDuty(p.fleet)
+	p.exchange = fleet.NewExchanger(p.fleet)
 	p.dropped = drops{count: d.LinesDropped, log: l, counter: p.metrics.Scope.Counter("log_lines_dropped")}
 	p.link = linkUse{scope: p.metrics.Scope, log: l}
 	p.link.watch("upstreams", p.pools.Traffic)
@@ -142,7 +142,7 @@
 // meet makes the fleet ask at addresses where routers may live.
 func (p *Process) meet(addrs []string) {
 	for _, addr := range addrs {
-		p.fleet.Meet([]fleet.Member{{Peers: addr}})
+		p.fleet.AddMembers([]fleet.Member{{Peers: addr}})
 	}
 }
 
--- a/pkg/gatewayd/restorations_test.go
+++ b/pkg/gatewayd/restorations_test.go
@@ -29,7 +29,7 @@
 	now := time.Now()
 	told := encodeRestorations(witness, now.Add(2*time.Second))
 	hearer := telling{catalog: starting}
-	hearer.Evacuated(fleet.Member{Name: "witness"}, nil, 6, told)
+	hearer.MergeEvacuated(fleet.Member{Name: "witness"}, nil, 6, told)
 	require.WithinDuration(t, now.Add(-2*time.Second), at, time.Second)
 }
 
--- a/pkg/gatewayd/telling.go
+++ b/pkg/gatewayd/telling.go
@@ -45,7 +45,7 @@
 
 // Describe fills in what a report says of this router's work.
 func (t *telling) Describe(r *fleet.Report) {
-	r.Ready, r.Pressed = t.ready(), t.pressed()
+	r.Ready, r.CPUStarved = t.ready(), t.pressed()
 	r.Config, r.Instances = t.catalog.Version(), int64(t.catalog.InstancesRevision())
 	r.ConfigDigest, r.ListSince = t.digest(), int64(t.catalog.ListSince())
 	r.ListAgeMs = t.catalog.InstancesAge(time.Now()).Milliseconds()
@@ -59,7 +59,7 @@
 		r.Pauses = append(r.Pauses, encodePauses(service, p))
 	}
 	for service, f := range t.inflows.Own(time.Now()) {
-		r.Inflows = append(r.Inflows, fleet.Inflow{Service: service, Rate: f.Rate.Seconds(), Spare: f.Spare})
+		r.Inflows = append(r.Inflows, fleet.Inflow{Service: service, Rate: f.Rate.Seconds(), OverShare: f.Spare})
 	}
 	stretch := t.demand.stretch(time.Now())
 	for org, u := range t.shares.Own(time.Now()) {
@@ -83,22 +83,22 @@
 }
 
 func instanceLoad(life upstream.Life, l placement.Load, s pace.Sum) fleet.InstanceLoad {
-	return fleet.InstanceLoad{Instance: string(life.ID), Life: life.Start, Running: l.Running, Unread: l.Unread, Memory: l.Memory,
-		Fragile: l.Fragile, Long: l.Long, ExpectedMs: int(math.Round(s.Expected)), SeenMs: int(math.Round(s.Seen))}
+	return fleet.InstanceLoad{Instance: string(life.ID), Life: life.Start, Running: l.Running, PrefillTokens: l.Unread, KVTokens: l.Memory,
+		PauseWeight: l.Fragile, LongPrompts: l.Long, BaseMs: int(math.Round(s.Expected)), ActualMs: int(math.Round(s.Seen))}
 }
 
-// Reads gives prompts newly read since the last call.
-func (t *telling) Reads() []fleet.PromptRead {
+// NewPrefixes gives prompts newly read since the last call.
+func (t *telling) NewPrefixes() []fleet.CachedPrefix {
 	untold := t.holdings.Untold()
-	list := make([]fleet.PromptRead, 0, len(untold))
+	list := make([]fleet.CachedPrefix, 0, len(untold))
 	for _, h := range untold {
-		list = append(list, fleet.PromptRead{Key: h.Key, Instance: string(h.Life.ID), Life: h.Life.Start})
+		list = append(list, fleet.CachedPrefix{Key: h.Key, Instance: string(h.Life.ID), Life: h.Life.Start})
 	}
 	return list
 }
 
-// Learn takes what other routers' engines have read.
-func (t *telling) Learn(list []fleet.PromptRead) {
+// AddPrefixes takes what other routers' engines have read.
+func (t *telling) AddPrefixes(list []fleet.CachedPrefix) {
 	holdings := make([]placement.Holding, 0, len(list))
 	for _, r := range list {
 		holdings = append(holdings, placement.Holding{Key: r.Key, Life: upstream.Life{ID: upstream.ID(r.Instance), Start: r.Life}})
@@ -115,17 +115,17 @@
 	return list[:min(len(list), maxSuspects)]
 }
 
-// Suspect takes those of another router.
-func (t *telling) Suspect(list []wire.Suspicion) { t.suspects.Merge(list) }
+// MergeSuspects takes those of another router.
+func (t *telling) MergeSuspects(list []wire.Suspicion) { t.suspects.Merge(list) }
 
-// Work takes what all other routers do and have seen.
-func (t *telling) Work(told fleet.Work) {
+// SetOthers takes what all other routers do and have seen.
+func (t *telling) SetOthers(told fleet.Totals) {
 	others := make(map[upstream.Life]placement.Load, len(told.Loads))
 	seen := make(map[upstream.Life]pace.Sum, len(told.Loads))
 	for of, l := range told.Loads {
 		life := upstream.Life{ID: upstream.ID(of.Instance), Start: of.Life}
-		others[life] = placement.Load{Running: l.Running, Unread: l.Unread, Memory: l.Memory, Fragile: l.Fragile, Long: l.Long}
-		seen[life] = pace.Sum{Expected: float64(l.ExpectedMs), Seen: float64(l.SeenMs)}
+		others[life] = placement.Load{Running: l.Running, Unread: l.PrefillTokens, Memory: l.KVTokens, Fragile: l.PauseWeight, Long: l.LongPrompts}
+		seen[life] = pace.Sum{Expected: float64(l.BaseMs), Seen: float64(l.ActualMs)}
 	}
 	t.ledger.SetOthers(others)
 	t.paces.SetOthers(seen)
@@ -146,8 +146,8 @@
 func inflows(told map[string]fleet.Inflow) map[string]placement.Inflow {
 	read := make(map[string]placement.Inflow, len(told))
 	for service, f := range told {
-		if f.Rate > 0 && f.Rate < mostInflow && math.Abs(f.Unseen) < mostInflow && math.Abs(f.Spare) < mostSpare {
-			read[service] = placement.Inflow{Rate: seconds(f.Rate), Unseen: seconds(f.Unseen), Spare: max(0, f.Spare)}
+		if f.Rate > 0 && f.Rate < mostInflow && math.Abs(f.Unseen) < mostInflow && math.Abs(f.OverShare) < mostSpare {
+			read[service] = placement.Inflow{Rate: seconds(f.Rate), Unseen: seconds(f.Unseen), Spare: max(0, f.OverShare)}
 		}
 	}
 	return read
@@ -164,8 +164,8 @@
 // maxZones bounds the evacuated and the restored zones that are believed of a peer.
 const maxZones = 1000
 
-// Evacuated takes the evacuated and the restored zones that another router knows of.
-func (t *telling) Evacuated(peer fleet.Member, zones []string, revision int64, restored []fleet.RestoredZone) {
+// MergeEvacuated takes the evacuated and the restored zones that another router knows of.
+func (t *telling) MergeEvacuated(peer fleet.Member, zones []string, revision int64, restored []fleet.RestoredZone) {
 	if len(zones) <= maxZones {
 		t.catalog.Evacuate(zones, catalog.Revision(revision), "peer "+peer.Name)
 	}
@@ -174,17 +174,17 @@
 	}
 }
 
-// StoreHeard takes when another router heard the operators' store.
-func (t *telling) StoreHeard(since, until time.Time) {
+// StoreContacted takes when another router heard the operators' store.
+func (t *telling) StoreContacted(since, until time.Time) {
 	t.catalog.Vouch(catalog.Contact{Since: since, Until: until})
 }
 
-// Behind notes a peer that knows more. The channel holds one: while a peer is asked,
+// PeerVersions notes a peer that knows more. The channel holds one: while a peer is asked,
 // further ones are not needed, and reports come again.
 //
 // A peer with the same list says how old it is. Without that a list that doesn't change
 // would seem old everywhere but at the routers that read it, and all would ask the store.
-func (t *telling) Behind(r *fleet.Report, asOf time.Time) {
+func (t *telling) PeerVersions(r *fleet.Report, asOf time.Time) {
 	t.catalog.HearOf(r.Config)
 	if own := int64(t.catalog.InstancesRevision()); r.Instances == own || r.Instances > own && own >= r.ListSince && r.ListSince > 0 {
 		t.catalog.Confirm(catalog.Revision(r.Instances), asOf)
@@ -204,5 +204,5 @@
 	if config > t.catalog.Version() {
 		return true
 	}
-	return instances > int64(t.catalog.InstancesRevision()) && t.catalog.InstancesAge(time.Now()) > fleet.ListOld
+	return instances > int64(t.catalog.InstancesRevision()) && t.catalog.InstancesAge(time.Now()) > fleet.StaleListAge
 }
--- a/pkg/gatewayd/warmup.go
+++ b/pkg/gatewayd/warmup.go
@@ -13,8 +13,8 @@
 
 // roster gives the routers that cold upstreams are dealt to.
 func (p *Process) roster(now time.Time) warmup.Roster {
-	alive := p.fleet.Roster(now)
-	return warmup.Roster{Self: p.fleet.Self().Peers, Routers: alive.Peers, Since: alive.Since, Joined: alive.Joined, Lost: alive.Lost, Known: alive.Known}
+	alive := p.fleet.Membership(now)
+	return warmup.Roster{Self: p.fleet.Self().Peers, Routers: alive.Peers, Since: alive.ChangedAt, Joined: alive.HalfAliveSince, Lost: alive.Lost, Known: alive.Known}
 }
 
 // listCurrent reports whether the list of upstreams is current enough for cold ones.
