--- a/pkg/pace/calls_test.go
+++ b/pkg/pace/call_times_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCallsAreLearnedWithoutTheirWait(t *testing.T) {
+func TestCallTimesExcludeTheWait(t *testing.T) {
 	var c Calls
 	for i := range 200 {
-		require.Equal(t, i < leastCalls, c.Mean("s") == 0)
+		require.Equal(t, i < minCalls, c.Mean("s") == 0)
 		waiting := i % 12
 		c.Observe("s", 60*time.Millisecond+time.Duration(waiting)*10*time.Millisecond, waiting, 6)
 	}
--- a/pkg/pace/curve.go
+++ b/pkg/pace/curve.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// bucketWidth and Buckets divide the times that prompts take to be read; the last bucket
-	// takes all that are longer.
+	// bucketWidth and Buckets divide the prefill times into buckets; the last one holds all longer
+	// times.
 	bucketWidth = 100 * time.Millisecond
 	Buckets     = 16
-	// curvePrior is the weight of what is expected of a bucket without measurements, in pauses.
-	curvePrior = 2.0
-	// curveMemory is the number of pauses that a router remembers in a bucket at most.
-	curveMemory = 30.0
-	// slack is how much longer than the reading of a prompt the pause beside it may be and
-	// still be its doing.
-	slack = 1.3
+	// priorPauses is the weight of the prior in a bucket, in pauses.
+	priorPauses = 2.0
+	// maxPauses is the number of pauses that a bucket remembers at most.
+	maxPauses = 30.0
+	// maxPauseRatio is the longest pause, relative to the prefill time of the prompt beside it,
+	// that is attributed to the prompt.
+	maxPauseRatio = 1.3
 )
 
-// Pauses are the pauses that streams made beside prompts, by the time that the reading of the
-// prompt takes. Those of several routers add up.
+// Pauses holds the pauses of streams beside prompts, by the prefill time of the prompt. Those of
+// several routers add up.
 type Pauses struct {
-	// Ms is the sum of the pauses of each bucket in milliseconds, Count their number.
+	// Ms is the sum of the pauses in each bucket in milliseconds, Count their number.
 	Ms    [Buckets]float64
 	Count [Buckets]float64
 }
 
-func bucketOf(reading time.Duration) int {
-	return min(Buckets-1, max(0, int(reading/bucketWidth)))
+func bucketOf(prefill time.Duration) int {
+	return min(Buckets-1, max(0, int(prefill/bucketWidth)))
 }
 
-// Empty reports whether there are none.
+// Empty reports whether there are no pauses.
 func (p *Pauses) Empty() bool { return p.Count == [Buckets]float64{} }
 
 func (p *Pauses) plus(o *Pauses) Pauses {
@@ -43,25 +43,25 @@
 	return sum
 }
 
-// observe takes the longest pause that was seen beside a prompt.
+// observe adds the longest pause that was seen beside a prompt.
 //
-// Guard: a stream may pause for a prompt that some other router placed there, or for a packet
-// that was lost. A pause that is longer than the reading itself says nothing of it.
-func (p *Pauses) observe(reading, pause time.Duration) {
-	if float64(pause) > slack*float64(reading) {
+// A stream may also pause for a prompt that another router placed there, or for a lost packet. A
+// pause that is longer than the prefill itself is ignored.
+func (p *Pauses) observe(prefill, pause time.Duration) {
+	if float64(pause) > maxPauseRatio*float64(prefill) {
 		return
 	}
-	i := bucketOf(reading)
+	i := bucketOf(prefill)
 	p.Ms[i] += ms(pause)
 	p.Count[i]++
-	if p.Count[i] > curveMemory {
-		p.Ms[i] *= curveMemory / p.Count[i]
-		p.Count[i] = curveMemory
+	if p.Count[i] > maxPauses {
+		p.Ms[i] *= maxPauses / p.Count[i]
+		p.Count[i] = maxPauses
 	}
 }
 
-// sound reports whether all figures can be.
-func (p *Pauses) sound() bool {
+// valid reports whether all numbers are finite and not negative.
+func (p *Pauses) valid() bool {
 	for i := range Buckets {
 		sum := p.Ms[i] + p.Count[i]
 		if p.Ms[i] < 0 || p.Count[i] < 0 || math.IsNaN(sum) || math.IsInf(sum, 0) {
@@ -71,30 +71,30 @@
 	return true
 }
 
-// Curve gives the pause that streams make beside a prompt, by the time that its reading takes,
-// as a part of that time in each bucket.
+// Curve is the pause of streams beside a prompt as a part of its prefill time, by buckets of that
+// time.
 //
-// Without measurements it is the whole reading: streams can't stand still for longer than
-// that. How much of it they do depends on how the engine cuts prompts into pieces and on how
-// many tokens an event holds, which shows only in the pauses. A bucket without measurements
-// goes by the one below it: the part falls with the length of the prompt, if anything.
+// Without measurements the pause is the whole prefill time: streams can't pause for longer. How
+// much of it they pause depends on the engine's chunk size and on the tokens in an event, and shows
+// only in measured pauses. A bucket without measurements takes the value of the one below it: the
+// part can only fall with the length of the prompt.
 type Curve [Buckets]float64
 
-// curve is what the pauses say.
+// curve estimates the Curve from the pauses.
 func (p *Pauses) curve() Curve {
 	var c Curve
 	part := 1.0
 	for i := range Buckets {
 		middle := (float64(i) + 0.5) * ms(bucketWidth)
-		part = min(1, (p.Ms[i]/middle+curvePrior*part)/(p.Count[i]+curvePrior))
+		part = min(1, (p.Ms[i]/middle+priorPauses*part)/(p.Count[i]+priorPauses))
 		c[i] = part
 	}
 	return c
 }
 
-// At gives the pause that a prompt with that reading time is expected to make.
-func (c *Curve) At(reading time.Duration) time.Duration {
-	return time.Duration(c[bucketOf(reading)] * float64(reading))
+// At is the expected pause beside a prompt with that prefill time.
+func (c *Curve) At(prefill time.Duration) time.Duration {
+	return time.Duration(c[bucketOf(prefill)] * float64(prefill))
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/pkg/pace/curve_test.go
+++ b/pkg/pace/curve_test.go
@@ -9,34 +9,34 @@
 
 func curveOf(p Pauses) Curve { return p.curve() }
 
-func TestWithoutPausesStreamsStandStillForTheWholeReading(t *testing.T) {
+func TestWithoutMeasurementsThePauseIsTheWholePrefill(t *testing.T) {
 	c := curveOf(Pauses{})
-	for _, reading := range []time.Duration{50 * time.Millisecond, 450 * time.Millisecond, 5 * time.Second} {
-		require.Equal(t, reading, c.At(reading))
+	for _, prefill := range []time.Duration{50 * time.Millisecond, 450 * time.Millisecond, 5 * time.Second} {
+		require.Equal(t, prefill, c.At(prefill))
 	}
 }
 
-// Engines cut prompts into pieces, so streams stand still for 200 ms at most however long the
-// prompt is. Held for the whole reading, every long prompt would be kept from all busy engines
+// Engines prefill in chunks, so streams pause for 200 ms at most, however long the prompt is. If
+// the whole prefill counted as a pause, every long prompt would be kept away from all busy engines
 // though it does no harm there.
-func TestPausesAreLearnedAndTellOfLongerPrompts(t *testing.T) {
+func TestPausesAreLearnedAndExtendToLongerPrompts(t *testing.T) {
 	var p Pauses
 	for range 20 {
 		p.observe(650*time.Millisecond, 200*time.Millisecond)
 	}
 	c := curveOf(p)
 	require.InDelta(t, 200, ms(c.At(650*time.Millisecond)), 50)
-	require.Less(t, c.At(1150*time.Millisecond), 500*time.Millisecond, "buckets above go by it")
-	require.Equal(t, 350*time.Millisecond, c.At(350*time.Millisecond), "those below don't")
+	require.Less(t, c.At(1150*time.Millisecond), 500*time.Millisecond, "longer buckets without measurements take its value")
+	require.Equal(t, 350*time.Millisecond, c.At(350*time.Millisecond), "shorter ones don't")
 }
 
-func TestPausesOfOthersPromptsSayNothing(t *testing.T) {
+func TestPausesLongerThanThePrefillAreIgnored(t *testing.T) {
 	var p Pauses
 	p.observe(200*time.Millisecond, 900*time.Millisecond)
 	require.True(t, p.Empty())
 }
 
-func TestPausesForget(t *testing.T) {
+func TestOldPausesAreForgotten(t *testing.T) {
 	var p Pauses
 	for range 1000 {
 		p.observe(650*time.Millisecond, 600*time.Millisecond)
--- a/pkg/pace/doc.go
+++ b/pkg/pace/doc.go
@@ -1,14 +1,13 @@
-// Package pace learns how fast engines read prompts, and for how long the streams beside a
-// prompt stand still while it is read.
+// Package pace learns how fast engines prefill prompts, and for how long the streams beside a
+// prompt pause during its prefill.
 //
-// Load pattern: engines of one service differ in speed, turn slow and recover, and read long
-// prompts more slowly for each token than short ones. An engine reads a prompt in large pieces,
-// one for each token that it generates for the streams beside it, so a long prompt makes all of
-// them pause, on a slow engine sooner than on a fast one. Prompts that are placed by one fixed
-// pace queue at slow engines until their objective has passed, and streams that began in time
-// end late.
+// Engines of one service differ in speed, slow down and recover, and need more time for each token
+// of a long prompt than of a short one. An engine prefills a prompt in large chunks, one for each
+// token that it generates for the streams beside it, so a long prompt makes all of them pause,
+// longer on a slow engine. With one fixed speed for all engines, prompts would queue at slow
+// engines until they miss their objective, and streams that began in time would end late.
 //
-// What is learned belongs to a life of an engine, or to a service where all its engines share
-// it. It starts from what the settings say, is bounded, and fades within seconds, so an engine
-// that turns fast again is believed again. The package holds no clock: callers pass the time.
+// The estimates belong to a life of an engine, or to a service where all its engines share them.
+// They start from the settings, are bounded, and decay within seconds, so that an engine that
+// recovers is used again. The package reads no clock: callers pass the time.
 package pace
--- a/pkg/pace/book_test.go
+++ b/pkg/pace/estimator_test.go
@@ -16,15 +16,15 @@
 	epoch     = time.Unix(0, 0)
 )
 
-// sample is a prompt that took so many times longer than usual.
+// sample is a prompt that took factor times as long as usual.
 func sample(life upstream.Life, factor float64) Sample {
 	base := 200 * time.Millisecond
 	return Sample{Service: "llm", Life: life, Context: 4000, Base: base, Seen: time.Duration(factor * float64(base))}
 }
 
-// One of twelve engines reads half as fast as the others. By one pace for all it gets as many
-// prompts as they do, and its queue grows until they are late.
-func TestASlowEngineIsKnownAfterAFewPrompts(t *testing.T) {
+// Guards against one speed for all engines: an engine that is half as fast as the others would get
+// as many prompts as they do, and its queue would grow until they are late.
+func TestASlowEngineIsDetectedAfterAFewPrompts(t *testing.T) {
 	b := NewBook()
 	for i := range 20 {
 		b.Observe(sample(slowLife, 2), epoch.Add(time.Duration(i)*100*time.Millisecond))
@@ -33,17 +33,17 @@
 	now := epoch.Add(2 * time.Second)
 	require.InDelta(t, 1.8, b.Slowness(slowLife, now), 0.1)
 	require.InDelta(t, 1, b.Slowness(usualLife, now), 0.01)
-	require.InDelta(t, 1, b.Slowness(upstream.Life{ID: "slow", Start: 2}, now), 0.01, "a new life is none the worse")
-	require.InDelta(t, 1, b.Slowness(slowLife, now.Add(time.Minute)), 0.05, "it is tried again when nothing was seen for a while")
+	require.InDelta(t, 1, b.Slowness(upstream.Life{ID: "slow", Start: 2}, now), 0.01, "a new life starts with the usual speed")
+	require.InDelta(t, 1, b.Slowness(slowLife, now.Add(time.Minute)), 0.05, "the measurements decay")
 }
 
-func TestOneOddPromptMovesLittle(t *testing.T) {
+func TestOneOutlierMovesSlownessLittle(t *testing.T) {
 	b := NewBook()
 	b.Observe(sample(slowLife, 1000), epoch)
 	require.Less(t, b.Slowness(slowLife, epoch), 1.6)
 }
 
-func TestWaitsBehindOthersSayNothing(t *testing.T) {
+func TestQueuedPromptsAreIgnored(t *testing.T) {
 	b := NewBook()
 	s := sample(slowLife, 5)
 	s.Queue = s.Base + 1
@@ -51,7 +51,8 @@
 	require.Equal(t, 1.0, b.Slowness(slowLife, epoch))
 }
 
-// With many routers each sees a prompt of an engine in minutes only; together they know it.
+// In a large fleet one router sends a prompt to the same engine every few minutes only, so the
+// routers' measurements must add up.
 func TestSumsOfRoutersAddUp(t *testing.T) {
 	b := NewBook()
 	b.SetOthers(map[upstream.Life]Sum{slowLife: {Expected: 4000, Seen: 8000}})
@@ -74,8 +75,8 @@
 	require.Equal(t, 1.0, b.Scale("other", 40_000))
 }
 
-// Whatever is observed or told, a belief stays within its bounds and is a number.
-func TestBeliefsAreBounded(t *testing.T) {
+// Whatever is observed or reported, the estimates stay within their bounds and are numbers.
+func TestEstimatesAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBook()
 		now := epoch
@@ -93,9 +94,9 @@
 				p.Ms[3], p.Count[3] = rapid.Float64().Draw(t, "ms"), rapid.Float64().Draw(t, "count")
 				b.SetOthersPauses(map[string]Pauses{"llm": p})
 			}
-			slow, scale := b.Slowness(slowLife, now), b.Scale("llm", 1<<20)
-			if !(slow >= leastSlowness && slow <= mostSlowness) || !(scale >= 1 && scale <= mostScale+1e-9) {
-				t.Fatalf("slowness %v, scale %v", slow, scale)
+			slowness, scale := b.Slowness(slowLife, now), b.Scale("llm", 1<<20)
+			if !(slowness >= minSlowness && slowness <= maxSlowness) || !(scale >= 1 && scale <= maxScale+1e-9) {
+				t.Fatalf("slowness %v, scale %v", slowness, scale)
 			}
 			c := b.Curve("llm")
 			if at := c.At(400 * time.Millisecond); at < 0 || at > 400*time.Millisecond {
@@ -105,20 +106,20 @@
 	})
 }
 
-// A stream stands still while a long prompt is read beside it; what it made of a short one
-// there at the same time isn't put down to that.
-func TestAPauseIsPutDownToTheLongestPrompt(t *testing.T) {
+// A pause is attributed to the long prompt that is prefilled beside the stream, not to a short one
+// there at the same time.
+func TestAPauseIsAttributedToTheLongestPrompt(t *testing.T) {
 	b := NewBook()
 	at := func(after time.Duration) time.Time { return epoch.Add(after) }
 	long := b.Begin("llm", slowLife, 800*time.Millisecond, at(0))
-	brief := b.Begin("llm", slowLife, 150*time.Millisecond, at(0))
+	short := b.Begin("llm", slowLife, 150*time.Millisecond, at(0))
 	early := b.Begin("llm", slowLife, 900*time.Millisecond, at(0))
 	early.Read(at(10 * time.Millisecond))
-	require.Nil(t, b.Begin("llm", slowLife, leastReading-1, at(0)))
+	require.Nil(t, b.Begin("llm", slowLife, minPrefill-1, at(0)))
 
 	b.Paused(slowLife, at(100*time.Millisecond), at(500*time.Millisecond))
 	b.Paused(usualLife, at(0), at(time.Second))
-	for _, r := range []*Reading{long, brief, early} {
+	for _, r := range []*Reading{long, short, early} {
 		r.Read(at(900 * time.Millisecond))
 		r.End()
 	}
@@ -126,5 +127,5 @@
 	require.Equal(t, 1.0, seen.Count[8])
 	require.Equal(t, 400.0, seen.Ms[8])
 	require.Zero(t, seen.Count[1]+seen.Count[9])
-	require.Empty(t, b.readings)
+	require.Empty(t, b.prefills)
 }
