--- a/pkg/shedding/idle_test.go
+++ b/pkg/shedding/idle_test.go
@@ -13,7 +13,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// idleEngines are engines before which nothing waits.
+// idleEngines returns n engines without a queue.
 func idleEngines(n int) []placement.Candidate {
 	list := make([]placement.Candidate, n)
 	for i := range list {
@@ -22,19 +22,19 @@
 	return list
 }
 
-// All callers of "behind" come to a small router, which reads 30 of their requests a second. Those
-// of "ahead" come to a strong one and ask ten times as often. Both get several times their due, and
-// "ahead" is told to give way: its queue limit falls to a millisecond. But most engines have nothing
-// to read, so each of its requests finds one without a queue, and over six seconds "behind" gets
-// under half of what it gets:
+// Guards against an organisation that takes more than twice what another one gets while engines are
+// idle. All callers of "behind" use a small router, which handles 30 of their requests a second;
+// those of "ahead" use a larger one and send ten times as many. Both get several times their due.
+// The queue limit of "ahead" falls to a millisecond, but that holds nothing back at engines without
+// a queue:
 //
 //	organisation_use router=front-hall-a-2 fleet_got=1000805 standing=2.21 ahead=2.02 behind_got=496351
 //	fairness: 47,778,174 tokens asked, 2,381,994 given; another one got 4,969,124
-func TestWhoIsAheadGivesWayWhereEnginesAreIdle(t *testing.T) {
+func TestAnOrganisationAheadIsShedWhileEnginesAreIdle(t *testing.T) {
 	const (
 		tick     = 10 * time.Millisecond
-		settles  = 5 * time.Second
-		watched  = 6 * time.Second
+		warmUp   = 5 * time.Second
+		measured = 6 * time.Second
 		capacity = 60_000 // tokens a second
 	)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -44,7 +44,7 @@
 	shares, now := placement.NewShares(), time.Unix(1000, 0)
 	asked := map[string]float64{"behind": 30, "ahead": 300} // requests a second
 	got := make(map[string]float64)
-	for passed := time.Duration(0); passed < settles+watched; passed += tick {
+	for elapsed := time.Duration(0); elapsed < warmUp+measured; elapsed += tick {
 		now = now.Add(tick)
 		for _, small := range []string{"a", "b", "c"} {
 			shares.Ask(small, 40, now)
@@ -52,7 +52,7 @@
 		}
 		for org, rate := range asked {
 			for left := rate * tick.Seconds(); left > random.Float64(); left-- {
-				// What is turned away at the small router's door counts as asked for.
+				// Requests that the small router refuses on arrival count as asked for.
 				shares.Ask(org, size*asked["ahead"]/rate, now)
 				standing := shares.Standing(org, capacity, now)
 				req := placement.Request{Work: work, Service: &routing.Service{Engine: engine}, Draw: random.Float64(),
@@ -61,7 +61,7 @@
 					continue
 				}
 				shares.Get(org, size, now)
-				if passed >= settles {
+				if elapsed >= warmUp {
 					got[org] += size
 				}
 			}
@@ -69,5 +69,5 @@
 	}
 	t.Logf("%v", got)
 	require.Greater(t, 2*got["behind"], got["ahead"])
-	require.Greater(t, got["ahead"], got["behind"], "who asks more isn't held to less")
+	require.Greater(t, got["ahead"], got["behind"], "asking for more doesn't lead to less")
 }
--- a/pkg/shedding/limits_test.go
+++ b/pkg/shedding/limits_test.go
@@ -13,9 +13,9 @@
 	return Prompt(Ask{Objective: time.Second, Reading: 100 * time.Millisecond, Standing: placement.Standing{Share: share, Full: true}})
 }
 
-func TestLimitsFallWithTheStanding(t *testing.T) {
-	require.EqualValues(t, leastOccupancy, occupancy(5))
-	require.Greater(t, occupancy(10), 2*occupancy(25))
+func TestLimitsFallWithTheShareRatio(t *testing.T) {
+	require.EqualValues(t, occupancyFloor, maxOccupancy(5))
+	require.Greater(t, maxOccupancy(10), 2*maxOccupancy(25))
 	before := limitsAt(1.01)
 	for _, share := range []float64{1.5, 2.5, 6, 20} {
 		l := limitsAt(share)
@@ -26,23 +26,23 @@
 	}
 }
 
-// An organisation asks for ten times its share. Bound to the engines that keep its prompts it
-// was refused where those are busy; with its prompts copied it fills every idle engine.
-func TestFarOverTheShareNothingIsFetched(t *testing.T) {
+// Guards against an organisation far over its share that fills every idle engine by having its
+// prompts fetched, instead of being refused where the engines that have them cached are busy.
+func TestFarOverTheShareTheReserveIgnoresFetching(t *testing.T) {
 	require.True(t, limitsAt(10).Stay)
 	require.False(t, limitsAt(1.5).Stay)
 	require.False(t, limitsAt(0.5).Stay)
 }
 
-func TestWithinTheShareNothingIsHeldBack(t *testing.T) {
+func TestWithinTheShareNothingIsShed(t *testing.T) {
 	l := limitsAt(0.9)
 	require.Equal(t, placement.Limits{Wait: 800 * time.Millisecond, Queue: 800 * time.Millisecond, OwnQueue: 800 * time.Millisecond, Reserve: reserve}, l)
-	require.EqualValues(t, shortReserve, limitsAt(0.5).Reserve)
+	require.EqualValues(t, underShareReserve, limitsAt(0.5).Reserve)
 }
 
-// A prompt that takes longer to read than the objective is late at any engine. Refused for that
-// it would never run.
-func TestLongPromptsGetTheTimeOfTheirReading(t *testing.T) {
+// A prompt whose prefill takes longer than the objective is late at any engine. If it were refused
+// for that, it would never run.
+func TestLongPromptsGetTheTimeOfTheirPrefill(t *testing.T) {
 	l := Prompt(Ask{Objective: 500 * time.Millisecond, Reading: time.Second})
 	require.Equal(t, 1200*time.Millisecond, l.Wait)
 }
--- a/pkg/shedding/request.go
+++ b/pkg/shedding/request.go
@@ -6,14 +6,14 @@
 	"github.com/flamingowind/flamingowind/pkg/placement"
 )
 
-// Ask is a request that wants to be placed at an engine.
+// Ask is a request to be placed at an engine.
 type Ask struct {
-	// Objective is the time to the first event in which an answer has its full worth.
+	// Objective is the time to the first event within which an answer has its full value.
 	Objective time.Duration
-	// Waited is how long it has waited already.
+	// Waited is how long the request has waited already.
 	Waited time.Duration
-	// Reading is how long its whole prompt takes to be read.
+	// Reading is the prefill time of the whole prompt.
 	Reading time.Duration
-	// Standing is that of its organisation.
+	// Standing is that of the request's organisation.
 	Standing placement.Standing
 }
--- a/pkg/shedding/retry_after_test.go
+++ b/pkg/shedding/retry_after_test.go
@@ -10,41 +10,41 @@
 	"github.com/flamingowind/flamingowind/pkg/placement"
 )
 
-// A burst fills the shortest queue to 900 ms, and callers who may wait for 400 ms are refused.
-// Told to come back in a quarter of a second, all of them find a queue of 650 ms and are refused
-// for good, as they come back once; told the time that the queue needs, they find 400 ms.
-func TestCallersComeBackWhenTheQueueIsShortEnough(t *testing.T) {
+// Guards against a retry that finds the same queue: a burst fills the shortest queue to 900 ms, and
+// callers that may wait for 400 ms are refused. If they retried after a quarter of a second, they
+// would find 650 ms and be refused for good, as they retry once.
+func TestCallersRetryWhenTheQueueIsShortEnough(t *testing.T) {
 	const queue, limit = 900 * time.Millisecond, 400 * time.Millisecond
 	limits := placement.Limits{Queue: limit, Wait: time.Second}
 	for i := range 100 {
-		pause := ComeBack(placement.Verdict{Queue: queue, Soonest: queue}, limits, float64(i)/100)
-		require.LessOrEqual(t, queue-pause, limit, "what is left of the queue by then")
-		require.Less(t, pause, time.Second, "the time to come back isn't later than it must be")
+		delay := ComeBack(placement.Verdict{Queue: queue, Soonest: queue}, limits, float64(i)/100)
+		require.LessOrEqual(t, queue-delay, limit, "the rest of the queue by then")
+		require.Less(t, delay, time.Second, "the delay isn't longer than necessary")
 	}
 }
 
-// Where the queue is no reason, as for work over its share that did without its part of the room,
-// the next reports tell whether there is room again.
-func TestWithoutAQueueCallersComeBackSoon(t *testing.T) {
+// Where the queue is no reason for the refusal, as for over-share requests beyond the part that is
+// admitted, the next reports tell whether there is room again.
+func TestWithoutAQueueCallersRetrySoon(t *testing.T) {
 	limits := placement.Limits{Queue: 100 * time.Millisecond, Wait: time.Second}
-	require.Equal(t, soonest, ComeBack(placement.Verdict{Queue: 50 * time.Millisecond}, limits, 0))
+	require.Equal(t, minRetryAfter, ComeBack(placement.Verdict{Queue: 50 * time.Millisecond}, limits, 0))
 }
 
-func TestPausesAreBounded(t *testing.T) {
+func TestRetryAfterIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, name))
 		}
 		v := placement.Verdict{Queue: draw("queue"), Soonest: draw("soonest")}
-		pause := ComeBack(v, placement.Limits{Queue: draw("queue limit"), Wait: draw("limit")}, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
-		require.GreaterOrEqual(t, pause, soonest)
-		require.Less(t, pause, latest*3/2)
+		delay := ComeBack(v, placement.Limits{Queue: draw("queue limit"), Wait: draw("limit")}, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
+		require.GreaterOrEqual(t, delay, minRetryAfter)
+		require.Less(t, delay, maxRetryAfter*3/2)
 	})
 }
 
-// Nearly all requests of an organisation that is far ahead are held back. Told to come back with
-// the next reports, each of its callers is refused again.
-func TestWhoIsHeldBackComesBackLater(t *testing.T) {
+// Guards against retries that are refused again: nearly all requests of an organisation far ahead
+// of others are shed, so the next reports change nothing for them.
+func TestShedRequestsRetryLater(t *testing.T) {
 	limits := placement.Limits{Queue: time.Second, Wait: time.Second, HeldBack: 0.9}
-	require.GreaterOrEqual(t, ComeBack(placement.Verdict{}, limits, 0), 6*soonest)
+	require.GreaterOrEqual(t, ComeBack(placement.Verdict{}, limits, 0), 6*minRetryAfter)
 }
