--- a/pkg/placement/ahead_test.go
+++ b/pkg/placement/ahead_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All callers of an organisation come to one small router, which reads what it can. Both it and
-// another organisation have more than their due, which is little; over six seconds the other one
-// gets 5.2 million tokens against 2.3 million, though both ask for all that there is. Their
-// standings, 3.1 and 1.3, tell nobody that one has less than half of the other.
+// Guards against a standing that hides unequal treatment: with all callers of one organisation at a
+// small router, two organisations over their due have standings of 3.1 and 1.3, and neither number
+// tells that over six seconds one got 5.2 million tokens and the other, which asks for as much, 2.3
+// million.
 func TestStandingTellsWhoIsAhead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := NewShares()
@@ -23,7 +23,7 @@
 	require.Zero(t, s.Standing("small", 600, now).Ahead, "it is within its share")
 
 	use["behind"] = Use{Asked: 400, Got: 10}
-	require.Equal(t, 1.0, s.Standing("large", 600, now).Ahead, "the other one couldn't use what it has")
+	require.Equal(t, 1.0, s.Standing("large", 600, now).Ahead, "the other one asks for less")
 	use["behind"] = Use{Asked: 2000}
-	require.InDelta(t, 900/(0.2*290), s.Standing("large", 600, now).Ahead, 0.1, "bounded")
+	require.InDelta(t, 900/(0.2*290), s.Standing("large", 600, now).Ahead, 0.1, "the least got is bounded")
 }
--- a/pkg/placement/candidate.go
+++ b/pkg/placement/candidate.go
@@ -10,20 +10,21 @@
 type Candidate struct {
 	Instance *upstream.Instance
 	Load     Load
-	// Kept is how many tokens of the request's prompt the instance is known to keep.
+	// Kept is the number of the prompt's tokens that are expected to be in the instance's KV cache.
 	Kept int
-	// Settled is how many of them it has read for sure, so that others can fetch them.
+	// Settled is the number of them that are known to be prefilled, so that other engines can fetch
+	// them.
 	Settled int
-	// LongShare is the part of the last seconds in which it had a long prompt to read.
+	// LongShare is the part of the last seconds in which the instance had a long prompt to prefill.
 	LongShare float64
-	// Slowness is how many times longer than usual the instance reads; 0 counts as 1.
+	// Slowness is the instance's prefill time over the usual one; 0 counts as 1.
 	Slowness float64
-	// Handicap is added to the instance's cost, for one that fails or is slow.
+	// Handicap is added to the cost of an instance that fails or is slow.
 	Handicap time.Duration
 }
 
-// slow stretches a reading time to the instance's speed.
-func (c Candidate) slow(d time.Duration) time.Duration {
+// slowed scales a prefill time by the instance's slowness.
+func (c Candidate) slowed(d time.Duration) time.Duration {
 	if c.Slowness <= 0 {
 		return d
 	}
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -10,54 +10,55 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Weights of costs other than waiting.
+// Weights and costs other than waiting.
 const (
-	// rereadWeight is what a millisecond of reading shared parts again counts against one
-	// of waiting: it also takes that time from the requests beside it.
-	rereadWeight = 6.0
-	// batchCost is the cost of a full batch: each running request slows the others' tokens.
-	batchCost = 60 * time.Millisecond
-	// farCost prefers an instance in the router's own zone where all else is equal.
-	farCost = 3 * time.Millisecond
-	// orderCost spreads prompts that nobody keeps yet in one order for all routers, so
-	// that two routers which meet the same new part at once choose the same engine.
-	orderCost = 25 * time.Millisecond
-	// memoryShare is the part of an engine's memory that is planned with: when it is full,
-	// running requests are put out and read again.
-	memoryShare = 0.92
-	// noMemoryWait keeps work from engines without room while others have some.
-	noMemoryWait = 3 * time.Second
+	// recomputeWeight is the cost of a millisecond of recomputing shared parts, relative to one of
+	// waiting: it also delays the requests beside it.
+	recomputeWeight = 6.0
+	// fullBatchCost is the cost of a full batch: each running request slows the others' tokens.
+	fullBatchCost = 60 * time.Millisecond
+	// crossZoneCost prefers instances in the router's own zone when all else is equal.
+	crossZoneCost = 3 * time.Millisecond
+	// tieBreakCost ranks instances for a prefix that none has cached, in the same order at all
+	// routers, so that two routers that get a new prefix at the same time choose the same engine.
+	tieBreakCost = 25 * time.Millisecond
+	// usableKVShare is the part of an engine's KV cache that is planned with: when the cache is
+	// full, the engine preempts running requests and recomputes them.
+	usableKVShare = 0.92
+	// kvFullWait is added to the queue of engines whose KV cache is full, so that others are
+	// preferred.
+	kvFullWait = 3 * time.Second
 )
 
-// Request is what Choose decides about.
+// Request is the input of Choose.
 type Request struct {
 	Work    Work
 	Chain   []Link
 	Service *routing.Service
 	Zone    string
 	Limits  Limits
-	// Scale is how many times longer than a short prompt's a token of this prompt takes to be
-	// read; 0 counts as 1.
+	// Scale is the prefill time of a token of this prompt over that of a short prompt's token; 0
+	// counts as 1.
 	Scale float64
-	// MaxPause is the longest pause between two events that the service's streams may make; 0
-	// when pauses aren't weighed. Pauses gives the pause that the reading of a prompt makes.
+	// MaxPause is the longest pause between two events that the service's streams may make; 0 when
+	// pauses aren't considered. Pauses estimates the pause that a prefill causes.
 	MaxPause time.Duration
 	Pauses   pace.Curve
-	// Fetch is whether kept parts may be fetched from another engine.
+	// Fetch is whether cached parts may be fetched from another engine.
 	Fetch bool
-	// Unseen is what other routers did since the candidates' loads were counted, and Draw a
-	// number by chance in [0, 1) that spreads the choices of many routers.
+	// Unseen is the traffic at other routers since the candidates' loads were counted. Draw is a
+	// random number in [0, 1) that spreads the choices of many routers.
 	Unseen Unseen
 	Draw   float64
 }
 
-// Choice is an instance and what was expected of it.
+// Choice is an instance and the estimates for the request there.
 type Choice struct {
 	Candidate Candidate
 	// Wait is the expected time to the first event.
 	Wait time.Duration
-	// Unread is the number of prompt tokens that it has to read, Reading the same in tokens of
-	// a short prompt.
+	// Unread is the number of prompt tokens that aren't in the instance's cache, Reading the same
+	// in tokens of a short prompt.
 	Unread  int
 	Reading int
 	// Base is the time to the first event without a queue on an engine of the usual speed.
@@ -65,48 +66,49 @@
 	// Holder is the engine from which Fetched tokens are fetched; nil for none.
 	Holder  *upstream.Instance
 	Fetched int
-	// Risk is the part of the streams beside it that will pause for too long while it is read.
+	// Risk is the part of the streams beside the request that are expected to pause for too long
+	// during its prefill.
 	Risk float64
-	// Harm is the weight of the streams that it is expected to make late.
+	// Harm is the weight of the streams that the request is expected to make late.
 	Harm float64
-	// Queue is the part of the wait that others cause.
+	// Queue is the part of the wait that other requests cause.
 	Queue time.Duration
-	// Cost is what was compared, Added by how much the choice raises the cost of its instance for
-	// those after it.
+	// Cost is the value by which choices are compared. Added is the amount by which the choice
+	// raises the cost of its instance for later requests.
 	Cost  time.Duration
 	Added time.Duration
 	// Unseen is that of the request.
 	Unseen Unseen
 
-	// reread is the time for tokens that another candidate keeps, as the reserve counts it.
-	reread time.Duration
+	// recompute is the prefill time of the tokens that another candidate has cached, as the reserve
+	// counts it.
+	recompute time.Duration
 }
 
-// Verdict is what Choose found.
+// Verdict is the result of Choose.
 type Verdict struct {
 	Choice Choice
-	// OK is false when no candidate is within the limit.
+	// OK is false when the request is refused.
 	OK bool
-	// Soonest is the shortest wait of all candidates, Queue the shortest one without what
-	// the request itself has to have read.
+	// Soonest is the shortest expected wait of all candidates, Queue their shortest queue.
 	Soonest time.Duration
 	Queue   time.Duration
-	// Part is the part of the requests like this one that the candidates have room for, less what
-	// is held back; 0 when it wasn't asked for.
+	// Part is the part of the over-share requests like this one that is admitted; 0 when the
+	// request is within its organisation's share or was refused before.
 	Part float64
 }
 
-// Choose gives one of the candidates whose wait is within the limit: the one with the least
-// cost, or nearly so where others have chosen meanwhile.
+// Choose returns one of the candidates that are within the request's limits: the cheapest one, or
+// one nearly as cheap when other routers have assigned work meanwhile.
 func Choose(req Request, candidates []Candidate, p Pace) Verdict {
 	var key uint64
 	if len(req.Chain) > 0 {
 		key = req.Chain[len(req.Chain)-1].Key
 	}
-	holders := holdersAmong(candidates)
+	holders := findHolders(candidates)
 	v := Verdict{Soonest: time.Hour, Queue: time.Hour}
-	s := scratches.Get().(*scratch)
-	defer scratches.Put(s)
+	s := scratchPool.Get().(*scratch)
+	defer scratchPool.Put(s)
 	s.reset()
 	for _, c := range candidates {
 		choice := evaluate(req, c, holders, p)
@@ -114,10 +116,10 @@
 		v.Queue = min(v.Queue, choice.Queue)
 		if len(req.Chain) > 0 {
 			rank := float64(score(key, c.Instance.ID)) / float64(1<<64)
-			choice.Cost += time.Duration(float64(orderCost) * (1 - rank))
+			choice.Cost += time.Duration(float64(tieBreakCost) * (1 - rank))
 		}
 		s.costs = append(s.costs, choice.Cost)
-		s.busy = append(s.busy, choice.Cost-c.Handicap-far(req, c))
+		s.work = append(s.work, choice.Cost-c.Handicap-zoneCost(req, c))
 		if req.fits(choice) {
 			s.fitting = append(s.fitting, choice)
 		}
@@ -125,118 +127,118 @@
 	if len(s.fitting) == 0 || v.Queue > req.Limits.Queue {
 		return v
 	}
-	draw, meanwhile := req.Draw, req.Unseen.Given
+	random, unseen := req.Draw, req.Unseen.Given
 	if req.Limits.Spare {
-		v.Part, meanwhile = req.spare(s, p)
+		v.Part, unseen = req.overShareRoom(s, p)
 		v.Part *= 1 - req.Limits.HeldBack
-		if draw >= v.Part {
+		if random >= v.Part {
 			return v
 		}
-		draw /= v.Part
+		random /= v.Part
 	}
-	top := level(s.costs, meanwhile)
-	if over := req.overPoured(s.fitting[0].Candidate, s.busy, meanwhile, p); over > 0 {
-		v.Queue = req.Limits.Queue + over
+	level := fillLevel(s.costs, unseen)
+	if excess := req.queueExcess(s.fitting[0].Candidate, s.work, unseen, p); excess > 0 {
+		v.Queue = req.Limits.Queue + excess
 		return v
 	}
-	v.Choice, v.OK = s.fitting[pick(s.fitting, top, draw)], true
-	v.Choice.Added, v.Choice.Unseen = added(req, v.Choice, p), req.Unseen
+	v.Choice, v.OK = s.fitting[pick(s.fitting, level, random)], true
+	v.Choice.Added, v.Choice.Unseen = addedCost(req, v.Choice, p), req.Unseen
 	return v
 }
 
-// scratch holds the lists of one choice for reuse.
+// scratch holds the slices of one decision for reuse.
 type scratch struct {
 	// costs are those of all candidates, fitting the choices within the limits.
 	costs []time.Duration
-	// busy are those that follow from work alone.
-	busy    []time.Duration
+	// work holds the parts of the costs that follow from the load alone.
+	work    []time.Duration
 	fitting []Choice
 }
 
-var scratches = sync.Pool{New: func() any { return new(scratch) }}
+var scratchPool = sync.Pool{New: func() any { return new(scratch) }}
 
-func (s *scratch) reset() { s.costs, s.busy, s.fitting = s.costs[:0], s.busy[:0], s.fitting[:0] }
+func (s *scratch) reset() { s.costs, s.work, s.fitting = s.costs[:0], s.work[:0], s.fitting[:0] }
 
-// added is by how much a choice raises the cost of its instance for those after it.
-func added(req Request, c Choice, p Pace) time.Duration {
+// addedCost is the amount by which a choice raises the cost of its instance for later requests.
+func addedCost(req Request, c Choice, p Pace) time.Duration {
 	if !req.isCall() {
-		return p.reading(c.Reading) + batch(Load{Running: 1}, req.Service.Engine.Slots)
+		return p.prefillTime(c.Reading) + batchCost(Load{Running: 1}, req.Service.Engine.Slots)
 	}
 	slots := c.Candidate.Instance.Slots
-	more := Load{Running: c.Candidate.Load.Running + 1}
-	return callWait(more, slots, p) - c.Queue + batch(Load{Running: 1}, slots)
+	next := Load{Running: c.Candidate.Load.Running + 1}
+	return callWait(next, slots, p) - c.Queue + batchCost(Load{Running: 1}, slots)
 }
 
-// crowded reports whether more of an engine's slots are taken than the request may find.
-func crowded(req Request, c Candidate) bool {
+// overOccupied reports whether the request would take more of an engine's slots than its limit.
+func overOccupied(req Request, c Candidate) bool {
 	if req.Limits.Occupancy <= 0 || req.Service.Engine == nil {
 		return false
 	}
 	return float64(c.Load.Running+1) > max(1, req.Limits.Occupancy*float64(req.Service.Engine.Slots))
 }
 
-// isCall reports whether the request is a call, which holds a slot and has no prompt to be read.
+// isCall reports whether the request is a call, which holds a slot and has no prompt to prefill.
 func (r *Request) isCall() bool { return r.Service.Engine == nil || r.Work.Prompt == nil }
 
-// evaluate works out what the request would find at a candidate, and what that counts.
+// evaluate estimates the wait and the cost of a request at a candidate.
 func evaluate(req Request, c Candidate, holders holders, p Pace) Choice {
 	if req.isCall() {
 		return evaluateCall(req, c, p)
 	}
 	choice := Choice{Candidate: c, Queue: engineQueue(req, c, p)}
-	transfer, rereadCost := choice.plan(req, holders, p)
-	own := c.slow(p.reading(choice.Reading))
-	choice.Base = transfer + p.First + p.reading(choice.Reading)
-	choice.Wait = choice.Queue + transfer + p.First + own
-	choice.Risk = req.risk(own)
-	choice.Harm = choice.Risk * atRisk(c.Load)
-	choice.Cost = choice.Wait + c.Handicap + far(req, c) + batch(c.Load, req.Service.Engine.Slots) + rereadCost
-	choice.Cost += time.Duration((choice.Harm + req.exposure(c)) * float64(spoiltCost))
+	transfer, recomputeCost := choice.planPrefill(req, holders, p)
+	prefill := c.slowed(p.prefillTime(choice.Reading))
+	choice.Base = transfer + p.First + p.prefillTime(choice.Reading)
+	choice.Wait = choice.Queue + transfer + p.First + prefill
+	choice.Risk = req.risk(prefill)
+	choice.Harm = choice.Risk * weightAtRisk(c.Load)
+	choice.Cost = choice.Wait + c.Handicap + zoneCost(req, c) + batchCost(c.Load, req.Service.Engine.Slots) + recomputeCost
+	choice.Cost += time.Duration((choice.Harm + req.exposure(c)) * float64(lateStreamCost))
 	return choice
 }
 
-// engineQueue is how long others keep an engine from reading the request's prompt.
+// engineQueue is how long other requests delay the prefill of the request's prompt.
 func engineQueue(req Request, c Candidate, p Pace) time.Duration {
 	engine := req.Service.Engine
-	queue := c.slow(p.reading(c.Load.Unread)) + slotWait(c.Load, engine.Slots, p)
-	if float64(c.Load.Memory+req.Work.Memory()) > memoryShare*float64(engine.KVCapacity) {
-		queue += noMemoryWait
+	queue := c.slowed(p.prefillTime(c.Load.Unread)) + slotWait(c.Load, engine.Slots, p)
+	if float64(c.Load.Memory+req.Work.Memory()) > usableKVShare*float64(engine.KVCapacity) {
+		queue += kvFullWait
 	}
 	return queue
 }
 
-// plan sets what the candidate reads and what it fetches, and gives the time of the transfer and
-// what reading again and a further copy count.
-func (choice *Choice) plan(req Request, holders holders, p Pace) (transfer, cost time.Duration) {
+// planPrefill sets the tokens that the candidate prefills and those that it fetches. It returns the
+// duration of the transfer, and the cost of recomputing and of a further copy.
+func (choice *Choice) planPrefill(req Request, holders holders, p Pace) (transfer, cost time.Duration) {
 	c := choice.Candidate
-	kept := c.Kept
-	transfer, holder := holders.fetch(req, c, p)
+	cached := c.Kept
+	transfer, holder := holders.bestFetch(req, c, p)
 	if holder != nil {
-		kept = holder.Settled
-		choice.Holder, choice.Fetched = holder.Instance, kept-c.Kept
+		cached = holder.Settled
+		choice.Holder, choice.Fetched = holder.Instance, cached-c.Kept
 	}
-	choice.Unread = max(0, req.Work.Prompt.Input-kept)
-	choice.Reading = scaled(choice.Unread, req.Scale)
-	reread := p.reading(max(0, holders.most-kept))
-	choice.reread = reread
+	choice.Unread = max(0, req.Work.Prompt.Input-cached)
+	choice.Reading = scaleTokens(choice.Unread, req.Scale)
+	recompute := p.prefillTime(max(0, holders.maxCached-cached))
+	choice.recompute = recompute
 	if req.Limits.Stay {
-		choice.reread = p.reading(max(0, holders.most-c.Kept))
+		choice.recompute = p.prefillTime(max(0, holders.maxCached-c.Kept))
 	}
-	copied := p.reading(max(0, kept-c.Kept))
-	return transfer, time.Duration(rereadWeight*float64(reread) + transferWeight*float64(transfer) + copyWeight*float64(copied))
+	copied := p.prefillTime(max(0, cached-c.Kept))
+	return transfer, time.Duration(recomputeWeight*float64(recompute) + transferWeight*float64(transfer) + copyWeight*float64(copied))
 }
 
 // fits reports whether a choice is within the request's limits.
 func (r *Request) fits(c Choice) bool {
-	reserved := time.Duration(r.Limits.Reserve * float64(c.reread))
-	if c.Wait+reserved > r.Limits.Wait || c.Queue > r.Limits.OwnQueue {
+	reserve := time.Duration(r.Limits.Reserve * float64(c.recompute))
+	if c.Wait+reserve > r.Limits.Wait || c.Queue > r.Limits.OwnQueue {
 		return false
 	}
-	return !crowded(*r, c.Candidate) && !r.tooHarmful(c)
+	return !overOccupied(*r, c.Candidate) && !r.tooHarmful(c)
 }
 
-// scaled turns tokens of a prompt into those of a short one.
-func scaled(tokens int, scale float64) int {
+// scaleTokens converts a number of prompt tokens into tokens of a short prompt.
+func scaleTokens(tokens int, scale float64) int {
 	if scale <= 0 {
 		return tokens
 	}
@@ -244,23 +246,24 @@
 }
 
 func evaluateCall(req Request, c Candidate, p Pace) Choice {
-	c.Load.Running -= req.ended(c, p)
+	c.Load.Running -= req.callsEnded(c, p)
 	wait := callWait(c.Load, c.Instance.Slots, p)
-	cost := wait + c.Handicap + far(req, c) + batch(c.Load, c.Instance.Slots)
+	cost := wait + c.Handicap + zoneCost(req, c) + batchCost(c.Load, c.Instance.Slots)
 	return Choice{Candidate: c, Wait: wait, Cost: cost, Queue: wait}
 }
 
-// Waiting is how many requests wait for one of an instance's slots.
+// Waiting is the number of requests that would wait for one of an instance's slots, with one more
+// than its load.
 func Waiting(l Load, slots int) int { return max(0, l.Running+1-slots) }
 
-// callWait is how long a call waits for one of an instance's slots: each that waits for a
-// slots-th part of a call. Until calls were seen, one is taken to last as long as a slot's turn.
+// callWait is how long a call waits for a slot: for each waiting request the duration of a call
+// divided by the number of slots. Until that duration is known, a slot's turn takes its place.
 func callWait(l Load, slots int, p Pace) time.Duration {
 	return time.Duration(Waiting(l, slots)) * cmp.Or(p.Call, p.Slot) / time.Duration(max(1, slots))
 }
 
-// ended is how many calls have ended at an instance since its load was counted.
-func (r *Request) ended(c Candidate, p Pace) int {
+// callsEnded estimates the calls that have ended at an instance since its load was counted.
+func (r *Request) callsEnded(c Candidate, p Pace) int {
 	if p.Call <= 0 {
 		return 0
 	}
@@ -273,14 +276,14 @@
 	return time.Duration(Waiting(l, slots)) * p.Slot
 }
 
-// batch is the cost of running beside others.
-func batch(l Load, slots int) time.Duration {
-	return time.Duration(float64(batchCost) * float64(l.Running) / float64(max(1, slots)))
+// batchCost is the cost of running beside other requests.
+func batchCost(l Load, slots int) time.Duration {
+	return time.Duration(float64(fullBatchCost) * float64(l.Running) / float64(max(1, slots)))
 }
 
-func far(req Request, c Candidate) time.Duration {
+func zoneCost(req Request, c Candidate) time.Duration {
 	if c.Instance.Zone == req.Zone {
 		return 0
 	}
-	return farCost
+	return crossZoneCost
 }
--- a/pkg/placement/cost_bench_test.go
+++ b/pkg/placement/cost_bench_test.go
@@ -10,14 +10,14 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Sizes of a large fleet of the first deployments.
+// Sizes of a large deployment.
 const (
 	benchOrganisations = 24
 	benchEngines       = 64
 	benchSlots         = 16
 )
 
-// One organisation asks at this router, all ask elsewhere.
+// Only one organisation sends requests to this router, all of them to others.
 func BenchmarkStanding(b *testing.B) {
 	s := NewShares()
 	others := make(map[string]Use)
@@ -34,7 +34,7 @@
 	}
 }
 
-// All engines' queues are too long.
+// No candidate fits: the queues of all engines are too long.
 func BenchmarkChooseNone(b *testing.B) {
 	service := &routing.Service{Engine: &routing.Engine{Slots: benchSlots, KVCapacity: 1 << 40}}
 	p := &prompt.Prompt{Input: 1460, MaxOutput: 80, Parts: []prompt.Part{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}, {ID: "e4402b7d", Tokens: 250}}}
--- a/pkg/placement/doc.go
+++ b/pkg/placement/doc.go
@@ -1,7 +1,7 @@
-// Package placement decides which upstream runs a request, and whether any should.
+// Package placement decides which upstream instance runs a request, and whether any should.
 //
-// Ledger counts the work in progress on each instance, over all routers, and Inflows what
-// others have given since they told of it; Choose weighs instances by how long a request would
-// wait there and by what would have to be read again. Choose holds no clock and no goroutine;
-// chance comes with the request.
+// Ledger tracks the load of each instance over all routers, and Inflows estimates what other
+// routers have assigned since their last reports. Choose compares instances by the expected wait of
+// the request and by the prompt tokens that would have to be recomputed. Choose reads no clock and
+// starts no goroutine; its random number comes with the request.
 package placement
--- a/pkg/placement/failing_calls_test.go
+++ b/pkg/placement/failing_calls_test.go
@@ -10,8 +10,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Guards against calls that are refused though no instance has anything to do, as all of them
-// failed now and then.
+// Guards against refusing calls at idle instances because all of them failed now and then.
 func TestCallsAtInstancesThatFailAreNotTakenForQueued(t *testing.T) {
 	var candidates []Candidate
 	for _, id := range []upstream.ID{"a", "b", "c"} {
@@ -24,6 +23,6 @@
 
 	req.Unseen.Given = time.Second
 	found := Choose(req, candidates, pace)
-	require.False(t, found.OK, "others have filled them meanwhile")
+	require.False(t, found.OK, "other routers have filled them meanwhile")
 	require.Greater(t, found.Queue, req.Limits.Queue)
 }
--- a/pkg/placement/holders.go
+++ b/pkg/placement/holders.go
@@ -3,83 +3,83 @@
 import "time"
 
 const (
-	// leastFetch is the number of tokens from which on fetching is weighed: two blocks of an
-	// engine's memory, as parts of blocks aren't kept.
-	leastFetch = 32
-	// transferSetup is the time that a transfer takes beside its bytes.
+	// minFetchTokens is the number of tokens from which on fetching is considered: two blocks of an
+	// engine's KV cache, as partial blocks aren't cached.
+	minFetchTokens = 32
+	// transferSetup is the fixed time of a transfer.
 	transferSetup = 5 * time.Millisecond
-	// farTransfer is how many times longer a transfer between availability zones takes.
-	farTransfer = 2
-	// transferWeight is what a millisecond of a transfer counts against one of waiting.
+	// crossZoneFactor is how many times longer a transfer between availability zones takes.
+	crossZoneFactor = 2
+	// transferWeight is the cost of a millisecond of transfer, relative to one of waiting.
 	transferWeight = 1.0
-	// copyWeight is what a millisecond of reading that a transfer saves still counts: a second
-	// copy takes memory in which other prompts are kept, which are then read again. Without it
-	// 564 thousand tokens were read again on a calm day of 18 engines, 253 with it.
+	// copyWeight is the cost of a millisecond of prefill that a transfer saves. A second copy
+	// displaces other cached prompts, which then have to be recomputed: without this cost 564
+	// thousand tokens were recomputed, with it 253 thousand, on 18 engines without faults.
 	copyWeight = 1.5
 )
 
-// holders are the candidates that are known to keep a part of a prompt.
+// holders are the candidates that have a prefix of the prompt in their KV cache.
 type holders struct {
-	list []Candidate
-	// most is the most that any candidate keeps. What nobody keeps has to be read in any case.
-	most int
+	sources []Candidate
+	// maxCached is the most tokens that any candidate has cached. The rest must be prefilled in any
+	// case.
+	maxCached int
 }
 
-func holdersAmong(candidates []Candidate) holders {
-	var k holders
+func findHolders(candidates []Candidate) holders {
+	var h holders
 	for _, c := range candidates {
-		k.most = max(k.most, c.Kept)
-		if c.Settled >= leastFetch {
-			k.list = append(k.list, c)
+		h.maxCached = max(h.maxCached, c.Kept)
+		if c.Settled >= minFetchTokens {
+			h.sources = append(h.sources, c)
 		}
 	}
-	return k
+	return h
 }
 
-// fetch gives the engine from which c had best fetch what it lacks of a prompt, and how long
-// the transfer takes; nil when reading is as good. It spares engines the reading of what others
-// keep.
-func (k holders) fetch(req Request, c Candidate, p Pace) (time.Duration, *Candidate) {
+// bestFetch returns the engine from which c should fetch the tokens that it lacks, and the duration
+// of the transfer; nil when prefilling them is as good.
+func (h holders) bestFetch(req Request, c Candidate, p Pace) (time.Duration, *Candidate) {
 	if !req.Fetch || req.Service.Engine.LinkBitsPerSecond <= 0 {
 		return 0, nil
 	}
 	var best *Candidate
-	for i := range k.list {
-		one := &k.list[i]
-		if one.Instance.ID != c.Instance.ID && (best == nil || better(*one, *best, c)) {
-			best = one
+	for i := range h.sources {
+		holder := &h.sources[i]
+		if holder.Instance.ID != c.Instance.ID && (best == nil || betterHolder(*holder, *best, c)) {
+			best = holder
 		}
 	}
-	if best == nil || best.Settled-c.Kept < leastFetch {
+	if best == nil || best.Settled-c.Kept < minFetchTokens {
 		return 0, nil
 	}
-	lacks := best.Settled - c.Kept
-	took := transfer(req, lacks, best.Instance.Zone != c.Instance.Zone)
-	if float64(took) > rereadWeight*float64(c.slow(p.reading(scaled(lacks, req.Scale)))) {
+	missing := best.Settled - c.Kept
+	duration := transferTime(req, missing, best.Instance.Zone != c.Instance.Zone)
+	if float64(duration) > recomputeWeight*float64(c.slowed(p.prefillTime(scaleTokens(missing, req.Scale)))) {
 		return 0, nil
 	}
-	return took, best
+	return duration, best
 }
 
-// better reports whether one is a better holder for c than other: it keeps more, is in the
-// same availability zone, or has less to do.
-func better(one, other, c Candidate) bool {
-	if one.Settled != other.Settled {
-		return one.Settled > other.Settled
+// betterHolder reports whether a is a better source for c than b: it has cached more, is in c's
+// availability zone, or has fewer running requests.
+func betterHolder(a, b, c Candidate) bool {
+	if a.Settled != b.Settled {
+		return a.Settled > b.Settled
 	}
-	near, otherNear := one.Instance.Zone == c.Instance.Zone, other.Instance.Zone == c.Instance.Zone
-	if near != otherNear {
-		return near
+	aSameZone, bSameZone := a.Instance.Zone == c.Instance.Zone, b.Instance.Zone == c.Instance.Zone
+	if aSameZone != bSameZone {
+		return aSameZone
 	}
-	return one.Load.Running < other.Load.Running
+	return a.Load.Running < b.Load.Running
 }
 
-func transfer(req Request, tokens int, far bool) time.Duration {
+func transferTime(req Request, tokens int, crossZone bool) time.Duration {
 	engine := req.Service.Engine
 	const bitsPerByte = 8
 	seconds := float64(tokens) * engine.KVTokenBytes * bitsPerByte / engine.LinkBitsPerSecond
-	if far {
-		seconds *= farTransfer
+	if crossZone {
+		seconds *= crossZoneFactor
 	}
 	return transferSetup + time.Duration(seconds*float64(time.Second))
 }
--- a/pkg/placement/holders_test.go
+++ b/pkg/placement/holders_test.go
@@ -11,16 +11,16 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// linked is a service whose engines copy a token in two microseconds.
-func linked() *routing.Service {
-	s := engines()
+// linkedService is a service whose engines transfer a token in two microseconds.
+func linkedService() *routing.Service {
+	s := engineService()
 	s.Engine.KVTokenBytes, s.Engine.LinkBitsPerSecond = 100_000, 400e9
 	return s
 }
 
-func fetching() Request {
-	req := ask(journal())
-	req.Service, req.Fetch = linked(), true
+func fetchRequest() Request {
+	req := requestFor(documentPrompt())
+	req.Service, req.Fetch = linkedService(), true
 	return req
 }
 
@@ -28,10 +28,10 @@
 	return Candidate{Instance: &upstream.Instance{ID: upstream.ID(id), Zone: zone}, Kept: settled, Settled: settled, Load: Load{Unread: 60_000}}
 }
 
-// The engine that keeps a document has a long queue, and another is idle. It copies the
-// document in 15 ms in place of reading it again for 100 ms.
-func TestIdleEngineFetchesWhatABusyOneKeeps(t *testing.T) {
-	v := Choose(fetching(), []Candidate{holder("keeps", "", 5000), candidate("idle", Load{}, 0)}, usual)
+// The engine that has a document cached has a long queue, and another one is idle. Fetching the
+// document takes 15 ms, recomputing it 100 ms.
+func TestIdleEngineFetchesWhatABusyOneHasCached(t *testing.T) {
+	v := Choose(fetchRequest(), []Candidate{holder("keeps", "", 5000), candidate("idle", Load{}, 0)}, usualSpeed)
 	require.True(t, v.OK)
 	require.Equal(t, upstream.ID("idle"), v.Choice.Candidate.Instance.ID)
 	require.Equal(t, upstream.ID("keeps"), v.Choice.Holder.ID)
@@ -45,60 +45,60 @@
 		change func(*Request)
 		holder Candidate
 	}{
-		"when it is switched off":          {func(r *Request) { r.Fetch = false }, holder("keeps", "", 5000)},
-		"without links":                    {func(r *Request) { r.Service = engines() }, holder("keeps", "", 5000)},
-		"what is only being read there":    {func(*Request) {}, Candidate{Instance: &upstream.Instance{ID: "keeps"}, Kept: 5000, Load: Load{Unread: 60_000}}},
-		"that is too little for a setup":   {func(*Request) {}, holder("keeps", "", leastFetch-1)},
-		"over a link slower than reading":  {func(r *Request) { r.Service.Engine.LinkBitsPerSecond = 1e9 }, holder("keeps", "", 5000)},
-		"by the engine that keeps it best": {func(*Request) {}, Candidate{Instance: &upstream.Instance{ID: "idle"}, Kept: 5000, Settled: 5000}},
+		"when it is disabled":                   {func(r *Request) { r.Fetch = false }, holder("keeps", "", 5000)},
+		"without links between engines":         {func(r *Request) { r.Service = engineService() }, holder("keeps", "", 5000)},
+		"while the holder is still prefilling":  {func(*Request) {}, Candidate{Instance: &upstream.Instance{ID: "keeps"}, Kept: 5000, Load: Load{Unread: 60_000}}},
+		"when there are too few tokens":         {func(*Request) {}, holder("keeps", "", minFetchTokens-1)},
+		"over a link slower than prefill":       {func(r *Request) { r.Service.Engine.LinkBitsPerSecond = 1e9 }, holder("keeps", "", 5000)},
+		"by the engine with most tokens cached": {func(*Request) {}, Candidate{Instance: &upstream.Instance{ID: "idle"}, Kept: 5000, Settled: 5000}},
 	} {
-		req := fetching()
+		req := fetchRequest()
 		req.Limits.Reserve = 0
 		c.change(&req)
 		candidates := []Candidate{c.holder, idle}
 		if c.holder.Instance.ID == "idle" {
 			candidates = candidates[:1]
 		}
-		v := Choose(req, candidates, usual)
+		v := Choose(req, candidates, usualSpeed)
 		require.True(t, v.OK, name)
 		require.Nil(t, v.Choice.Holder, name)
 	}
 }
 
-// An organisation asks for ten times its share. Bound to the engines that keep its prompts it is
-// refused where those are busy; with its prompts copied it fills every idle engine. What is small
-// enough to be read again is still better copied.
-func TestFarOverTheShareACopyIsNoWayOut(t *testing.T) {
-	req := fetching()
+// Guards against an organisation far over its share that fills every idle engine by having its
+// prompts fetched, instead of being refused where the engines that have them cached are busy.
+// Prompts that are short enough to be recomputed are still fetched.
+func TestFetchingIsNoWayAroundTheReserve(t *testing.T) {
+	req := fetchRequest()
 	req.Limits.Stay, req.Limits.Reserve = true, 10
 	busy := holder("keeps", "", 5000)
 	busy.Load.Unread = 25_000
 	idle := candidate("idle", Load{}, 0)
-	v := Choose(req, []Candidate{busy, idle}, usual)
-	require.False(t, v.OK, "reading ten times again what it would copy takes a second")
+	v := Choose(req, []Candidate{busy, idle}, usualSpeed)
+	require.False(t, v.OK, "ten times the prefill time of what it would copy is a second")
 
-	short := *journal()
+	short := *documentPrompt()
 	short.Input, short.Parts = 1100, []prompt.Part{{ID: "system", Tokens: 500}, {ID: "own", Tokens: 600}}
 	req.Work.Prompt, req.Chain = &short, Chain(&short)
 	busy.Kept, busy.Settled = 500, 500
-	v = Choose(req, []Candidate{busy, idle}, usual)
+	v = Choose(req, []Candidate{busy, idle}, usualSpeed)
 	require.True(t, v.OK)
 	require.Equal(t, 500, v.Choice.Fetched)
 }
 
-// A document is copied to every engine in turn, and what those kept before it is given up and
-// read again. A copy elsewhere must not be as good as the engine that keeps it.
+// Guards against copying a document to every engine in turn, each of which then evicts and
+// recomputes what it had cached. A copy elsewhere must cost more than the engine that has it.
 func TestTheHolderIsPreferredWhereItsQueueIsShort(t *testing.T) {
 	busy := holder("keeps", "", 5000)
 	busy.Load.Unread = 2000
-	v := Choose(fetching(), []Candidate{busy, candidate("idle", Load{}, 0)}, usual)
+	v := Choose(fetchRequest(), []Candidate{busy, candidate("idle", Load{}, 0)}, usualSpeed)
 	require.Equal(t, upstream.ID("keeps"), v.Choice.Candidate.Instance.ID)
 }
 
 func TestTheNearerHolderIsTaken(t *testing.T) {
 	c := Candidate{Instance: &upstream.Instance{ID: "c", Zone: "z"}}
-	k := holdersAmong([]Candidate{holder("far", "y", 5000), holder("near", "z", 5000), holder("less", "z", 500)})
-	took, from := k.fetch(fetching(), c, usual)
+	found := findHolders([]Candidate{holder("far", "y", 5000), holder("near", "z", 5000), holder("less", "z", 500)})
+	duration, from := found.bestFetch(fetchRequest(), c, usualSpeed)
 	require.Equal(t, upstream.ID("near"), from.Instance.ID)
-	require.InDelta(t, transferSetup+10*time.Millisecond, took, float64(time.Millisecond))
+	require.InDelta(t, transferSetup+10*time.Millisecond, duration, float64(time.Millisecond))
 }
--- a/pkg/placement/in_flight.go
+++ b/pkg/placement/in_flight.go
@@ -2,47 +2,47 @@
 
 import "github.com/flamingowind/flamingowind/pkg/upstream"
 
-// Entry is one piece of work in a Ledger, until End.
+// Entry is one request in flight that a Ledger counts until End.
 type Entry struct {
-	ledger *Ledger
-	life   upstream.Life
-	unread int
-	memory int
-	// fragile and long are what the load counts of it.
-	fragile, long int
-	ended         bool
+	ledger        *Ledger
+	life          upstream.Life
+	prefillTokens int
+	kvTokens      int
+	// pauseWeight and longPrompts are what it adds to the load.
+	pauseWeight, longPrompts int
+	ended                    bool
 }
 
-// Read notes that the prompt has been read: the first event is there.
+// Read records that the prompt has been prefilled: its first event has arrived.
 func (e *Entry) Read() {
 	e.ledger.mu.Lock()
 	defer e.ledger.mu.Unlock()
-	e.read()
+	e.markPrefilled()
 }
 
-func (e *Entry) read() {
+func (e *Entry) markPrefilled() {
 	if load := e.ledger.own[e.life]; load != nil {
-		load.Unread -= e.unread
-		load.Long -= e.long
+		load.Unread -= e.prefillTokens
+		load.Long -= e.longPrompts
 	}
-	e.unread, e.long = 0, 0
+	e.prefillTokens, e.longPrompts = 0, 0
 }
 
-// Spoil notes that the stream is late: a further pause does it no harm.
+// Spoil records that the stream is late already: a further pause does it no harm.
 func (e *Entry) Spoil() {
 	e.ledger.mu.Lock()
 	defer e.ledger.mu.Unlock()
-	e.spoil()
+	e.markLate()
 }
 
-func (e *Entry) spoil() {
+func (e *Entry) markLate() {
 	if load := e.ledger.own[e.life]; load != nil {
-		load.Fragile -= e.fragile
+		load.Fragile -= e.pauseWeight
 	}
-	e.fragile = 0
+	e.pauseWeight = 0
 }
 
-// End takes the work out of the ledger; only the first call counts.
+// End removes the request from the load. Only the first call has an effect.
 func (e *Entry) End() {
 	e.ledger.mu.Lock()
 	defer e.ledger.mu.Unlock()
@@ -50,11 +50,11 @@
 		return
 	}
 	e.ended = true
-	e.read()
-	e.spoil()
+	e.markPrefilled()
+	e.markLate()
 	load := e.ledger.own[e.life]
 	load.Running--
-	load.Memory -= e.memory
+	load.Memory -= e.kvTokens
 	if load.Running == 0 {
 		delete(e.ledger.own, e.life)
 	}
--- a/pkg/placement/inflow.go
+++ b/pkg/placement/inflow.go
@@ -7,126 +7,126 @@
 )
 
 const (
-	// inflowWindow is the time constant in seconds with which what was given is forgotten: short
-	// against a burst, long against the tenths of a second between two reports.
+	// inflowWindow is the time constant, in seconds, with which past work decays: short against a
+	// burst, long against the tenths of a second between two reports.
 	inflowWindow = 1.0
-	// mostUnseen bounds the time for which others are taken to go on as they were last told to
-	// do. A second is many times the usual age of reports; beyond it the routers are cut off.
-	mostUnseen = time.Second
+	// maxUnseenAge bounds the time for which other routers are assumed to continue as last
+	// reported. A second is many times the usual age of reports; beyond it the routers are cut off.
+	maxUnseenAge = time.Second
 )
 
-// Inflow is what routers give to the instances of a service, counted as the time by which it
-// raises their costs.
+// Inflow is the rate of work that routers assign to the instances of a service, measured as the
+// time by which it raises their costs.
 type Inflow struct {
-	// Rate is how much is given in a second.
+	// Rate is the work assigned in a second.
 	Rate time.Duration
-	// Unseen is how much was given since the loads that are known of were counted.
+	// Unseen is the work assigned since the known loads were counted.
 	Unseen time.Duration
-	// Spare is how many requests a second come from organisations over their share, which may
-	// only have what others leave.
+	// Spare is the number of requests a second of organisations over their share, which only get
+	// the capacity that others leave.
 	Spare float64
 }
 
-// Inflows tells how much other routers have given to the instances of a service that the loads
-// told by them don't hold yet.
+// Inflows estimates the work that other routers have assigned to the instances of a service and
+// that their reported loads don't include yet.
 type Inflows struct {
 	mu  sync.Mutex
-	own map[string]*given
-	// spare counts requests of organisations over their share.
-	spare  map[string]*given
-	others map[string]Inflow
-	// at is when others was told.
-	at time.Time
+	own map[string]*decayingSum
+	// overShare counts requests of organisations over their share.
+	overShare map[string]*decayingSum
+	others    map[string]Inflow
+	// reportedAt is when others was reported.
+	reportedAt time.Time
 }
 
-// given is a sum that decays.
-type given struct {
-	sum float64 // seconds of work, or requests
-	at  time.Time
+// decayingSum is a sum that decays exponentially.
+type decayingSum struct {
+	sum       float64 // seconds of work, or requests
+	updatedAt time.Time
 }
 
-func (g *given) decay(now time.Time) {
-	passed := now.Sub(g.at).Seconds()
-	if passed > 0 {
-		g.sum *= math.Exp(-passed / inflowWindow)
-		g.at = now
+func (d *decayingSum) decay(now time.Time) {
+	elapsed := now.Sub(d.updatedAt).Seconds()
+	if elapsed > 0 {
+		d.sum *= math.Exp(-elapsed / inflowWindow)
+		d.updatedAt = now
 	}
 }
 
-// NewInflows returns accounts in which nothing was given.
+// NewInflows returns Inflows without any work.
 func NewInflows() *Inflows {
-	return &Inflows{own: make(map[string]*given), spare: make(map[string]*given)}
+	return &Inflows{own: make(map[string]*decayingSum), overShare: make(map[string]*decayingSum)}
 }
 
-// Give counts work that this router gives to an instance of a service.
+// Give counts work that this router assigns to an instance of a service.
 func (f *Inflows) Give(service string, work time.Duration, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	add(f.own, service, work.Seconds(), now)
+	addTo(f.own, service, work.Seconds(), now)
 }
 
-// AskSpare counts a request of an organisation over its share that came to this router.
+// AskSpare counts a request of an organisation over its share that arrived at this router.
 func (f *Inflows) AskSpare(service string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	add(f.spare, service, 1, now)
+	addTo(f.overShare, service, 1, now)
 }
 
-func add(to map[string]*given, service string, n float64, now time.Time) {
-	g := to[service]
-	if g == nil {
-		g = &given{at: now}
-		to[service] = g
+func addTo(sums map[string]*decayingSum, service string, n float64, now time.Time) {
+	d := sums[service]
+	if d == nil {
+		d = &decayingSum{updatedAt: now}
+		sums[service] = d
 	}
-	g.decay(now)
-	g.sum += n
+	d.decay(now)
+	d.sum += n
 }
 
-// Own gives what comes to this router and what it gives, by service.
+// Own returns this router's own inflow, by service.
 func (f *Inflows) Own(now time.Time) map[string]Inflow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := make(map[string]Inflow, len(f.own))
-	for service, g := range f.own {
-		g.decay(now)
-		own[service] = Inflow{Rate: time.Duration(g.sum / inflowWindow * float64(time.Second))}
+	for service, d := range f.own {
+		d.decay(now)
+		own[service] = Inflow{Rate: time.Duration(d.sum / inflowWindow * float64(time.Second))}
 	}
-	for service, g := range f.spare {
-		g.decay(now)
-		of := own[service]
-		of.Spare = g.sum / inflowWindow
-		own[service] = of
+	for service, d := range f.overShare {
+		d.decay(now)
+		inflow := own[service]
+		inflow.Spare = d.sum / inflowWindow
+		own[service] = inflow
 	}
 	return own
 }
 
-// SetOthers replaces what the other routers give, as told at now.
+// SetOthers replaces the inflow that the other routers reported, as of now.
 func (f *Inflows) SetOthers(others map[string]Inflow, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.others, f.at = others, now
+	f.others, f.reportedAt = others, now
 }
 
-// Unseen is what other routers do that the loads which they told don't hold yet.
+// Unseen is the traffic at other routers that their reported loads don't include yet.
 type Unseen struct {
-	// Given is what they have given to the instances of the service.
+	// Given is the work that they have assigned to the instances of the service.
 	Given time.Duration
-	// Spare is how many requests of organisations over their share have come to them.
+	// Spare is the number of requests of organisations over their share that arrived there.
 	Spare float64
-	// Age is how old those loads are.
+	// Age is the age of the reported loads.
 	Age time.Duration
 }
 
-// Unseen gives what the other routers have done for a service since the loads that they told
-// were counted.
+// Unseen estimates the traffic at the other routers for a service since the loads that they
+// reported were counted.
 func (f *Inflows) Unseen(service string, now time.Time) Unseen {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	told := f.others[service]
-	if told.Rate <= 0 {
+	reported := f.others[service]
+	if reported.Rate <= 0 {
 		return Unseen{}
 	}
-	age := now.Sub(f.at).Seconds() + told.Unseen.Seconds()/told.Rate.Seconds()
-	age = max(0, min(age, mostUnseen.Seconds()))
-	return Unseen{Given: time.Duration(age * float64(told.Rate)), Spare: age * told.Spare, Age: time.Duration(age * float64(time.Second))}
+	age := now.Sub(f.reportedAt).Seconds() + reported.Unseen.Seconds()/reported.Rate.Seconds()
+	age = max(0, min(age, maxUnseenAge.Seconds()))
+	return Unseen{Given: time.Duration(age * float64(reported.Rate)), Spare: age * reported.Spare, Age: time.Duration(age * float64(time.Second))}
 }
--- a/pkg/placement/inflow_test.go
+++ b/pkg/placement/inflow_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// start is when the accounts begin.
+// start is the time at which the test begins.
 var start = time.Unix(1000, 0)
 
-func TestInflowsForget(t *testing.T) {
+func TestInflowsDecay(t *testing.T) {
 	f := NewInflows()
 	f.Give("llm", 100*time.Millisecond, start)
 	f.AskSpare("llm", start)
@@ -22,16 +22,16 @@
 	require.Less(t, own.Spare, 0.01)
 }
 
-// What other routers do meanwhile follows from the age of their reports: those that came over a
-// hub were 100 ms old already as they were told.
-func TestMeanwhileFollowsFromTheAge(t *testing.T) {
+// The unseen work follows from the age of the reports: those that came over a hub were 100 ms old
+// when they arrived.
+func TestUnseenWorkFollowsFromTheAgeOfReports(t *testing.T) {
 	f := NewInflows()
-	require.Zero(t, f.Unseen("llm", start), "nothing was told")
+	require.Zero(t, f.Unseen("llm", start), "nothing was reported")
 	f.SetOthers(map[string]Inflow{"llm": {Rate: 30 * time.Second, Unseen: 3 * time.Second, Spare: 200}}, start)
-	m := f.Unseen("llm", start.Add(50*time.Millisecond))
-	require.InDelta(t, 4500*time.Millisecond, m.Given, float64(time.Millisecond))
-	require.InDelta(t, 30, m.Spare, 0.01)
-	m = f.Unseen("llm", start.Add(time.Hour))
-	require.Equal(t, 30*time.Second, m.Given, "a router that is cut off doesn't take others to go on for ever")
+	unseen := f.Unseen("llm", start.Add(50*time.Millisecond))
+	require.InDelta(t, 4500*time.Millisecond, unseen.Given, float64(time.Millisecond))
+	require.InDelta(t, 30, unseen.Spare, 0.01)
+	unseen = f.Unseen("llm", start.Add(time.Hour))
+	require.Equal(t, 30*time.Second, unseen.Given, "the age is bounded for a router that is cut off")
 	require.Zero(t, f.Unseen("other", start))
 }
--- a/pkg/placement/kv_index.go
+++ b/pkg/placement/kv_index.go
@@ -7,159 +7,163 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Times of Holdings.
+// Times and sizes of Holdings.
 const (
-	// holdingLife is how long an engine is taken to keep a part after its last use. The
-	// parts in use fit the engines' memory several times over; those that nobody asks for
-	// yield first.
-	holdingLife = 45 * time.Second
-	// retellAfter is the age at which a use is told to other routers again.
-	retellAfter = holdingLife / 3
-	// maxLinks bounds the links that are remembered.
-	maxLinks = 50_000
+	// prefixTTL is how long an engine is assumed to keep a prefix in its cache after the last use.
+	// The prefixes in use fit the engines' caches several times over; unused ones are evicted
+	// first.
+	prefixTTL = 45 * time.Second
+	// reportInterval is the time after which a use is reported to other routers again.
+	reportInterval = prefixTTL / 3
+	// maxPrefixes bounds the number of prefixes in the index.
+	maxPrefixes = 50_000
 )
 
-// Holding says that an engine has read a link in one of its lives.
+// Holding says that an engine has prefilled a prefix in one of its lives.
 type Holding struct {
 	Key  uint64
 	Life upstream.Life
 }
 
-type held struct {
-	// first is when it was first sent there, used the last time.
-	first time.Time
-	used  time.Time
-	told  time.Time
-	// settled is whether it was read for sure.
-	settled bool
+// entry is a prefix in the cache of one life of an engine.
+type entry struct {
+	// sent is when the prefix was first sent to the engine, lastUsed when it was last used.
+	sent         time.Time
+	lastUsed     time.Time
+	lastReported time.Time
+	// confirmed is whether the engine is known to have prefilled it.
+	confirmed bool
 }
 
-// settleAfter is the time after which a part that was sent to an engine is taken to be read,
-// by those who don't see its first event.
-const settleAfter = time.Second
+// confirmDelay is the time after which a prefix that was sent to an engine is assumed to be
+// prefilled, by routers that don't see the first event.
+const confirmDelay = time.Second
 
-func (e *held) readBy(now time.Time) bool { return e.settled || now.Sub(e.first) >= settleAfter }
+// ready reports whether other engines can fetch the prefix.
+func (e *entry) ready(now time.Time) bool { return e.confirmed || now.Sub(e.sent) >= confirmDelay }
 
-// Kept is what a life of an engine keeps of a prompt, in tokens.
+// Kept is the number of a prompt's tokens in the cache of an engine in one of its lives.
 type Kept struct {
-	// Sent was sent there: it is kept, or will be when a prompt sent now has its turn.
+	// Sent is the number of tokens that were sent there: they are cached, or will be by the time
+	// that a prompt sent now is prefilled.
 	Sent int
-	// Settled has been read, so that another engine can fetch it.
+	// Settled is the number of tokens that are prefilled, so that another engine can fetch them.
 	Settled int
 }
 
-// Holdings remembers which engines have read which beginnings of prompts. What an engine read
-// in an earlier life, or is said to have read then, is kept apart from its present one.
+// Holdings is an index of the prompt prefixes that engines have in their caches. Each life of an
+// engine has its own entries, so that a late report about an earlier life has no effect on the
+// present one.
 type Holdings struct {
-	mu     sync.Mutex
-	links  map[uint64]map[upstream.Life]*held
-	untold []Holding
+	mu         sync.Mutex
+	byKey      map[uint64]map[upstream.Life]*entry
+	unreported []Holding
 }
 
-// NewHoldings returns an empty memory.
-func NewHoldings() *Holdings { return &Holdings{links: make(map[uint64]map[upstream.Life]*held)} }
+// NewHoldings returns an empty index.
+func NewHoldings() *Holdings { return &Holdings{byKey: make(map[uint64]map[upstream.Life]*entry)} }
 
-// Use notes that an engine reads all of chain.
-func (h *Holdings) Use(life upstream.Life, chain []Link, now time.Time) {
+// Use records that an engine is sent all of prefixes.
+func (h *Holdings) Use(life upstream.Life, prefixes []Link, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, link := range chain {
-		entry := h.entry(link.Key, life, now)
-		entry.used = now
-		if now.Sub(entry.told) < retellAfter {
+	for _, prefix := range prefixes {
+		e := h.entry(prefix.Key, life, now)
+		e.lastUsed = now
+		if now.Sub(e.lastReported) < reportInterval {
 			continue
 		}
-		entry.told = now
-		h.untold = append(h.untold, Holding{Key: link.Key, Life: life})
+		e.lastReported = now
+		h.unreported = append(h.unreported, Holding{Key: prefix.Key, Life: life})
 	}
 }
 
-// Settle notes that an engine has read all of chain.
-func (h *Holdings) Settle(life upstream.Life, chain []Link) {
+// Settle records that an engine has prefilled all of prefixes.
+func (h *Holdings) Settle(life upstream.Life, prefixes []Link) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, link := range chain {
-		if entry := h.links[link.Key][life]; entry != nil {
-			entry.settled = true
+	for _, prefix := range prefixes {
+		if e := h.byKey[prefix.Key][life]; e != nil {
+			e.confirmed = true
 		}
 	}
 }
 
-// Learn takes what another router noted.
+// Learn adds prefixes that another router reported.
 func (h *Holdings) Learn(list []Holding, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, one := range list {
-		entry := h.entry(one.Key, one.Life, now)
-		entry.used, entry.told = now, now
+	for _, reported := range list {
+		e := h.entry(reported.Key, reported.Life, now)
+		e.lastUsed, e.lastReported = now, now
 	}
 }
 
-func (h *Holdings) entry(key uint64, life upstream.Life, now time.Time) *held {
-	byLife := h.links[key]
+func (h *Holdings) entry(key uint64, life upstream.Life, now time.Time) *entry {
+	byLife := h.byKey[key]
 	if byLife == nil {
-		if len(h.links) >= maxLinks {
-			clear(h.links) // memory is bounded; what is in use comes back with its next use
+		if len(h.byKey) >= maxPrefixes {
+			clear(h.byKey) // bounds the memory; prefixes in use are added again at their next use
 		}
-		byLife = make(map[upstream.Life]*held, 2)
-		h.links[key] = byLife
+		byLife = make(map[upstream.Life]*entry, 2)
+		h.byKey[key] = byLife
 	}
-	entry := byLife[life]
-	if entry == nil {
-		entry = &held{first: now}
-		byLife[life] = entry
+	e := byLife[life]
+	if e == nil {
+		e = &entry{sent: now}
+		byLife[life] = e
 	}
-	return entry
+	return e
 }
 
-// Untold gives what is new since the last call.
+// Untold returns the prefixes recorded since the last call.
 func (h *Holdings) Untold() []Holding {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := h.untold
-	h.untold = nil
+	list := h.unreported
+	h.unreported = nil
 	return list
 }
 
-// Kept gives what each life of an engine keeps that holds a beginning of chain; nil when none
-// does.
-func (h *Holdings) Kept(chain []Link, now time.Time) map[upstream.Life]Kept {
-	if len(chain) == 0 {
+// Kept returns the cached tokens of a prompt, by the lives of engines that have one of its prefixes
+// cached; nil when none has.
+func (h *Holdings) Kept(prefixes []Link, now time.Time) map[upstream.Life]Kept {
+	if len(prefixes) == 0 {
 		return nil
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var kept map[upstream.Life]Kept
-	for _, link := range chain {
-		for life, entry := range h.links[link.Key] {
-			if now.Sub(entry.used) >= holdingLife {
+	var cached map[upstream.Life]Kept
+	for _, prefix := range prefixes {
+		for life, e := range h.byKey[prefix.Key] {
+			if now.Sub(e.lastUsed) >= prefixTTL {
 				continue
 			}
-			if kept == nil {
-				kept = make(map[upstream.Life]Kept)
+			if cached == nil {
+				cached = make(map[upstream.Life]Kept)
 			}
-			one := Kept{Sent: link.Tokens, Settled: kept[life].Settled}
-			if entry.readBy(now) {
-				one.Settled = link.Tokens
+			tokens := Kept{Sent: prefix.Tokens, Settled: cached[life].Settled}
+			if e.ready(now) {
+				tokens.Settled = prefix.Tokens
 			}
-			kept[life] = one
+			cached[life] = tokens
 		}
 	}
-	return kept
+	return cached
 }
 
-// Prune drops what is past its life.
+// Prune removes expired entries.
 func (h *Holdings) Prune(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for key, byLife := range h.links {
-		for life, entry := range byLife {
-			if now.Sub(entry.used) >= holdingLife {
+	for key, byLife := range h.byKey {
+		for life, e := range byLife {
+			if now.Sub(e.lastUsed) >= prefixTTL {
 				delete(byLife, life)
 			}
 		}
 		if len(byLife) == 0 {
-			delete(h.links, key)
+			delete(h.byKey, key)
 		}
 	}
 }
--- a/pkg/placement/level.go
+++ b/pkg/placement/level.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// doubtful is the handicap from which on an instance is left out of what is spread: one in sixteen
-// of its answers failed, or it was suspended just before. Single failures leave less.
-const doubtful = 50 * time.Millisecond
+// maxSpreadHandicap is the handicap from which on an instance gets no part of the work that is
+// spread: one in sixteen of its answers failed, or it has just been suspended. Single failures
+// leave less.
+const maxSpreadHandicap = 50 * time.Millisecond
 
-// level is the cost to which all instances that cost less rise when unseen work is poured over
+// fillLevel returns the cost to which all cheaper instances rise when unseen work is spread over
 // them, the cheapest first.
-func level(costs []time.Duration, unseen time.Duration) time.Duration {
+func fillLevel(costs []time.Duration, unseen time.Duration) time.Duration {
 	if len(costs) == 0 {
 		return 0
 	}
 	slices.Sort(costs)
-	sum, filled := costs[0], 1
+	sum, count := costs[0], 1
 	for _, cost := range costs[1:] {
-		if time.Duration(filled)*cost-sum >= unseen {
+		if time.Duration(count)*cost-sum >= unseen {
 			break
 		}
 		sum += cost
-		filled++
+		count++
 	}
-	return (unseen + sum) / time.Duration(filled)
+	return (unseen + sum) / time.Duration(count)
 }
 
-// pick gives the place of the choice to take: one of those below top, each as likely as it is
-// below it, else the cheapest. draw is a number by chance in [0, 1).
+// pick returns the index of the choice to take: among the choices below level, each with a
+// probability proportional to its distance below it; otherwise the cheapest. random is in [0, 1).
 //
-// Guard: routers that go by the same reports, some hundred milliseconds old, all choose the
-// engine that was the least busy then. First events came far later than expected there, behind
-// prompts that others had sent meanwhile, while other engines stood idle. What the others have given since the reports goes
-// to the engines that looked cheap, up to top; who chooses each as likely as it is below top
-// leaves them all equally busy.
-func pick(choices []Choice, top time.Duration, draw float64) int {
+// All routers decide by the same reports, some hundred milliseconds old. If each took the engine
+// that was the least busy in them, prompts would queue there behind those of other routers, and
+// their first events would come far later than expected, while other engines were idle. The work
+// assigned since the reports goes to the engines that looked cheap, up to level; picking them in
+// proportion to their distance below it leaves all of them equally busy.
+func pick(choices []Choice, level time.Duration, random float64) int {
 	best, total := 0, time.Duration(0)
 	for i := range choices {
 		if choices[i].Cost < choices[best].Cost {
 			best = i
 		}
-		total += choices[i].below(top)
+		total += choices[i].belowLevel(level)
 	}
-	left := time.Duration(draw * float64(total))
+	remaining := time.Duration(random * float64(total))
 	for i := range choices {
-		below := choices[i].below(top)
-		if left < below {
+		below := choices[i].belowLevel(level)
+		if remaining < below {
 			return i
 		}
-		left -= below
+		remaining -= below
 	}
 	return best
 }
 
-// below is how far a choice lies below top; nothing for an instance that has failed lately.
+// belowLevel is the distance of a choice below level; 0 for an instance that failed recently.
 //
-// Guard: what is poured over the instances may reach those that fail or don't answer, whose
-// handicap is some tenths of a second. Of 24 routers each then went on to send them requests,
-// which hung until their time was over, and the connections that waited used up a host's
-// descriptors.
-func (c *Choice) below(top time.Duration) time.Duration {
-	if c.Candidate.Handicap >= doubtful {
+// The handicap of an instance that fails or doesn't answer is some tenths of a second, so the
+// spread work would reach it. Every router of a fleet would go on sending it requests, which hang
+// until their timeout, and the waiting connections would use up the host's file descriptors.
+func (c *Choice) belowLevel(level time.Duration) time.Duration {
+	if c.Candidate.Handicap >= maxSpreadHandicap {
 		return 0
 	}
-	return max(0, top-c.Cost)
+	return max(0, level-c.Cost)
 }
--- a/pkg/placement/limits.go
+++ b/pkg/placement/limits.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// Limits are what a request may find at an engine.
+// Limits are the conditions under which a request may be sent to an instance.
 type Limits struct {
-	// Wait is the longest wait to the first event that is worth starting.
+	// Wait is the longest expected time to the first event.
 	Wait time.Duration
-	// Queue refuses the request unless the queue of some candidate is within it, wherever the
-	// request is then sent.
+	// Queue bounds the shortest queue of all candidates: beyond it the request is refused,
+	// whichever candidate it would be sent to.
 	Queue time.Duration
-	// OwnQueue is the longest queue of the candidate that is chosen.
+	// OwnQueue bounds the queue of the candidate that is chosen.
 	OwnQueue time.Duration
-	// Occupancy is the part of an engine's slots that may be taken, one at least; 0 for any.
+	// Occupancy is the part of an engine's slots that may be taken, at least one slot; 0 for no
+	// bound.
 	Occupancy float64
-	// Reserve is how often the time for reading again what another candidate keeps must
-	// fit within Wait beside the wait: an engine that is nearly full does better to serve
-	// prompts that it keeps.
+	// Reserve is the factor by which the time for recomputing what another candidate has cached
+	// must fit within Wait beside the expected wait. Engines that are nearly full do better to
+	// serve prompts that they have in their caches.
 	Reserve float64
-	// Stay makes Reserve count what an engine lacks of the prompt also where it could fetch it.
+	// Stay makes Reserve count the tokens missing from an engine's cache even where the engine
+	// could fetch them.
 	Stay bool
-	// Spare says that the request may only have what others leave.
+	// Spare marks a request of an organisation over its share, which only gets the capacity that
+	// others leave.
 	Spare bool
-	// HeldBack is the part of such requests that is refused however idle engines are; 0 for none.
-	// It counts with Spare.
+	// HeldBack is the part of such requests that is refused even when engines are idle; 0 for none.
+	// It applies only with Spare.
 	HeldBack float64
-	// Harm is the weight of the streams that it may make late at most; 0 for any.
+	// Harm bounds the weight of the streams that the request may make late; 0 for no bound.
 	Harm float64
 }
--- a/pkg/placement/load.go
+++ b/pkg/placement/load.go
@@ -1,17 +1,17 @@
 package placement
 
-// Load is work in progress on one instance.
+// Load is the work in progress on one instance.
 type Load struct {
 	// Running is the number of requests that were sent and have not ended.
 	Running int
-	// Unread is the number of prompt tokens that wait to be read.
+	// Unread is the number of prompt tokens that wait to be prefilled.
 	Unread int
-	// Memory is the number of tokens that running requests hold or will hold.
+	// Memory is the number of KV cache tokens that the running requests hold or will hold.
 	Memory int
-	// Fragile is the weight of the running streams that a long pause would make late. Those
-	// that are late already weigh nothing.
+	// Fragile is the weight of the running streams that a long pause would make late. Streams that
+	// are late already don't count.
 	Fragile int
-	// Long is the number of prompts that wait to be read whose reading makes such a pause.
+	// Long is the number of prompts waiting for a prefill that causes such a pause.
 	Long int
 }
 
--- a/pkg/placement/load_tracker.go
+++ b/pkg/placement/load_tracker.go
@@ -7,22 +7,22 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Ledger counts the work in progress of this router, and keeps what others told, each by the
-// life of the instance that does it.
+// Ledger tracks the load of this router's requests in flight and the loads reported by other
+// routers, by instance life.
 type Ledger struct {
 	mu     sync.Mutex
 	own    map[upstream.Life]*Load
 	others map[upstream.Life]Load
-	// reads is how much of the time a long prompt was read, by life.
-	reads map[upstream.Life]*longShare
+	// longShares tracks by life how much of the time a long prompt was prefilled.
+	longShares map[upstream.Life]*longPromptShare
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns a Ledger without any load.
 func NewLedger() *Ledger {
-	return &Ledger{own: make(map[upstream.Life]*Load), others: make(map[upstream.Life]Load), reads: make(map[upstream.Life]*longShare)}
+	return &Ledger{own: make(map[upstream.Life]*Load), others: make(map[upstream.Life]Load), longShares: make(map[upstream.Life]*longPromptShare)}
 }
 
-// Begin counts work that is about to be sent to an instance in its present life.
+// Begin counts a request that is about to be sent to an instance in its present life.
 func (l *Ledger) Begin(life upstream.Life, w Work) *Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,25 +31,25 @@
 		load = new(Load)
 		l.own[life] = load
 	}
-	e := &Entry{ledger: l, life: life, unread: w.Unread, memory: w.Memory(), fragile: w.Fragile, long: count(w.Long)}
+	e := &Entry{ledger: l, life: life, prefillTokens: w.Unread, kvTokens: w.Memory(), pauseWeight: w.Fragile, longPrompts: boolToInt(w.Long)}
 	load.Running++
-	load.Fragile += e.fragile
-	load.Long += e.long
-	load.Unread += e.unread
-	load.Memory += e.memory
+	load.Fragile += e.pauseWeight
+	load.Long += e.longPrompts
+	load.Unread += e.prefillTokens
+	load.Memory += e.kvTokens
 	return e
 }
 
-// count is 1 for what is counted.
-func count(counted bool) int {
-	if counted {
+// boolToInt is 1 for true and 0 for false.
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// Of gives the load of an instance's life over all routers. Work that was sent to an earlier
-// life, by whichever router and however late it is told, is none of its load.
+// Of returns the load of an instance's life over all routers. Requests that were sent to an earlier
+// life don't count, whichever router sent them and however late it reports them.
 func (l *Ledger) Of(life upstream.Life) Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,7 @@
 	return total
 }
 
-// Fill sets the loads of candidates to those over all routers, all as of one moment.
+// Fill sets the loads of candidates to those over all routers, as of one moment.
 func (l *Ledger) Fill(candidates []Candidate, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,32 +71,32 @@
 		if own := l.own[life]; own != nil {
 			c.Load = c.Load.plus(*own)
 		}
-		c.LongShare = l.longShare(life, c.Load.Long > 0, now)
+		c.LongShare = l.updateLongShare(life, c.Load.Long > 0, now)
 	}
 }
 
-func (l *Ledger) longShare(life upstream.Life, reads bool, now time.Time) float64 {
-	s := l.reads[life]
+func (l *Ledger) updateLongShare(life upstream.Life, active bool, now time.Time) float64 {
+	s := l.longShares[life]
 	if s == nil {
-		s = &longShare{at: now}
-		l.reads[life] = s
+		s = &longPromptShare{updatedAt: now}
+		l.longShares[life] = s
 	}
-	s.observe(reads, now)
+	s.observe(active, now)
 	return s.share
 }
 
-// Prune drops what is known of lives that set doesn't have.
+// Prune removes the state of lives that aren't in set.
 func (l *Ledger) Prune(set *upstream.Set) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for life := range l.reads {
+	for life := range l.longShares {
 		if !set.Lives(life) {
-			delete(l.reads, life)
+			delete(l.longShares, life)
 		}
 	}
 }
 
-// Own gives this router's work, by life.
+// Own returns the load of this router's requests, by life.
 func (l *Ledger) Own() map[upstream.Life]Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	return own
 }
 
-// SetOthers replaces what the other routers have in progress.
+// SetOthers replaces the load that the other routers reported.
 func (l *Ledger) SetOthers(others map[upstream.Life]Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/placement/long_prompt_share.go
+++ b/pkg/placement/long_prompt_share.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// longMemory is the time constant with which an engine's long prompts are forgotten: about as
-// long as the streams run that began beside one.
-const longMemory = 3 * time.Second
+// longShareDecay is the time constant with which past long prompts are forgotten: about as long as
+// the streams run that began beside one.
+const longShareDecay = 3 * time.Second
 
-// longShare is the part of the last seconds in which an engine had a long prompt to read.
-type longShare struct {
+// longPromptShare tracks the part of the last seconds in which an engine had a long prompt to
+// prefill.
+type longPromptShare struct {
 	share float64
-	// reads is whether it had one when it was last looked at.
-	reads bool
-	at    time.Time
+	// active is whether it had one at the last observation.
+	active    bool
+	updatedAt time.Time
 }
 
-// observe notes whether the engine has a long prompt to read now.
-func (s *longShare) observe(reads bool, now time.Time) {
-	if passed := now.Sub(s.at); passed > 0 {
+// observe records whether the engine has a long prompt to prefill now.
+func (s *longPromptShare) observe(active bool, now time.Time) {
+	if elapsed := now.Sub(s.updatedAt); elapsed > 0 {
 		target := 0.0
-		if s.reads {
+		if s.active {
 			target = 1
 		}
-		s.share = target + (s.share-target)*math.Exp(-passed.Seconds()/longMemory.Seconds())
-		s.at = now
+		s.share = target + (s.share-target)*math.Exp(-elapsed.Seconds()/longShareDecay.Seconds())
+		s.updatedAt = now
 	}
-	s.reads = reads
+	s.active = active
 }
--- a/pkg/placement/queue_excess.go
+++ b/pkg/placement/queue_excess.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// overPoured is by how much the queue of a service exceeds what a call may find, once
-// what others gave meanwhile is poured over its instances, of which busy are the costs by work
-// alone; 0 where it doesn't.
+// queueExcess is how far the queues of a service exceed the limit of a call once the work that
+// other routers have assigned since their reports is spread over the instances; 0 when it is within
+// the limit. workCosts are the instances' costs that follow from work alone.
 //
-// Guard: by reports that are as old as a call is long, all routers see room that they have
-// filled together, and full instances refuse most of what comes. Instances that fail now and then
-// cost more and are no fuller for it.
-func (r *Request) overPoured(c Candidate, busy []time.Duration, meanwhile time.Duration, p Pace) time.Duration {
+// Reports may be as old as a call is long. Without this check all routers see free slots that they
+// have filled together, and full instances refuse most calls. Handicaps don't count here: an
+// instance that fails now and then costs more but is no fuller.
+func (r *Request) queueExcess(c Candidate, workCosts []time.Duration, unseen time.Duration, p Pace) time.Duration {
 	if p.Call <= 0 {
 		return 0
 	}
-	top := level(busy, meanwhile)
+	level := fillLevel(workCosts, unseen)
 	slots := max(1, c.Instance.Slots)
-	each := p.Call / time.Duration(slots)
-	most := int(r.Limits.Queue / max(1, each))
-	allowed := time.Duration(most)*each + batch(Load{Running: slots + most}, slots)
-	return max(0, top-allowed)
+	perCall := p.Call / time.Duration(slots)
+	maxQueued := int(r.Limits.Queue / max(1, perCall))
+	allowed := time.Duration(maxQueued)*perCall + batchCost(Load{Running: slots + maxQueued}, slots)
+	return max(0, level-allowed)
 }
--- a/pkg/placement/rendezvous.go
+++ b/pkg/placement/rendezvous.go
@@ -5,5 +5,5 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// score ranks instances for a key.
+// score ranks instances for a key by rendezvous hashing.
 func score(key uint64, id upstream.ID) uint64 { return rendezvous.Score(key, string(id)) }
--- a/pkg/placement/retry_budget.go
+++ b/pkg/placement/retry_budget.go
@@ -5,52 +5,51 @@
 	"time"
 )
 
-// Budget bounds the repeats that a router sends to a service, as a share of the requests
-// for it.
+// Budget bounds the retries that a router sends to a service, as a part of the requests for it.
 //
-// Guard: when a service fails, repeats come on top of what it can't serve already, and
-// keep it down. The budget is the router's own part of one for the whole fleet: a share
-// of the requests that came through it, and of the slack as many as there are routers.
+// When a service fails, retries add to a load that it can't serve already, and keep it down. Each
+// router has its own part of one budget for the whole fleet: a part of the requests that it
+// received, and an equal part of the fleet's allowance.
 type Budget struct {
-	mu       sync.Mutex
-	ratio    float64
-	slack    float64
-	length   time.Duration
-	services map[string]*window
+	mu           sync.Mutex
+	ratio        float64
+	allowance    float64
+	windowLength time.Duration
+	windows      map[string]*window
 }
 
-// Set allows ratio repeats for each request, and slack beside them over all routers, in
-// each window of that length.
-func (b *Budget) Set(ratio, slack float64, length time.Duration) {
+// Set allows ratio retries for each request, and allowance further ones over all routers, in each
+// window of windowLength.
+func (b *Budget) Set(ratio, allowance float64, windowLength time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ratio, b.slack, b.length = ratio, slack, length
+	b.ratio, b.allowance, b.windowLength = ratio, allowance, windowLength
 }
 
-// budgetShare is the part of the budget that is used: windows slide, and ours don't
-// begin where those of others do.
-const budgetShare = 0.7
+// usableShare is the part of the budget that is used: windows slide, and those of different routers
+// don't begin at the same time.
+const usableShare = 0.7
 
-// window counts in two halves, so that what is older than a window is forgotten.
+// window counts in two halves, so that counts older than a window are dropped.
 type window struct {
 	start             time.Time
-	requests, repeats [2]float64
+	requests, retries [2]float64
 }
 
-func (b *Budget) of(service string, now time.Time) *window {
-	if b.services == nil {
-		b.services = make(map[string]*window)
+func (b *Budget) window(service string, now time.Time) *window {
+	if b.windows == nil {
+		b.windows = make(map[string]*window)
 	}
-	w := b.services[service]
+	w := b.windows[service]
 	if w == nil {
 		w = &window{start: now}
-		b.services[service] = w
+		b.windows[service] = w
 	}
-	for now.Sub(w.start) >= b.length/2 {
+	for now.Sub(w.start) >= b.windowLength/2 {
 		w.requests = [2]float64{0, w.requests[0]}
-		w.repeats = [2]float64{0, w.repeats[0]}
-		w.start = w.start.Add(b.length / 2)
-		if now.Sub(w.start) > 2*b.length {
+		w.retries = [2]float64{0, w.retries[0]}
+		w.start = w.start.Add(b.windowLength / 2)
+		if now.Sub(w.start) > 2*b.windowLength {
 			*w = window{start: now}
 		}
 	}
@@ -61,19 +60,19 @@
 func (b *Budget) Request(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service, now).requests[0]++
+	b.window(service, now).requests[0]++
 }
 
-// Repeat reports whether one more attempt may be sent, and counts it if so. routers is
-// the number of routers that share the slack.
+// Repeat reports whether a retry may be sent, and counts it if so. routers is the number of routers
+// that share the allowance.
 func (b *Budget) Repeat(service string, routers int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.of(service, now)
-	allowed := b.ratio*(w.requests[0]+w.requests[1]) + b.slack/float64(max(1, routers))
-	if w.repeats[0]+w.repeats[1]+1 > budgetShare*allowed {
+	w := b.window(service, now)
+	allowed := b.ratio*(w.requests[0]+w.requests[1]) + b.allowance/float64(max(1, routers))
+	if w.retries[0]+w.retries[1]+1 > usableShare*allowed {
 		return false
 	}
-	w.repeats[0]++
+	w.retries[0]++
 	return true
 }
--- a/pkg/placement/shared_capacity_test.go
+++ b/pkg/placement/shared_capacity_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Engines whose slots are the bound do a fifth of what they are declared to do. Two organisations
-// take four fifths of that, and a small one gets a sixth of what it asks: none counted as over its
-// share, as half of the declared capacity was shared.
+// Guards against shares of the declared capacity where slots limit the engines to a fifth of it:
+// two organisations take four fifths of that, a small one gets a sixth of what it asks for, and
+// none counts as over its share.
 //
 //	fairness: 466,414 tokens asked, 80,824 given; another one got 1,264,379
 func TestSharesFollowWhatEnginesDo(t *testing.T) {
@@ -24,8 +24,8 @@
 	require.Less(t, s.Standing("small", capacity, now).Share, 0.5)
 }
 
-// Organisations over their share give way, and less is got. Were that all that is shared, they
-// would be still further over, until engines are idle.
+// Guards against shares that shrink with what is got: organisations over their share are held back,
+// less is got, and they would be further over their share until engines are idle.
 func TestGivingWayDoesNotShrinkShares(t *testing.T) {
 	const capacity = 2_500_000
 	s, now := NewShares(), time.Unix(1000, 0)
@@ -36,7 +36,7 @@
 	require.Less(t, s.Standing("large", capacity, now.Add(2*time.Second)).Share, 1.0)
 }
 
-// Nearly all that is asked for is got. What isn't says nothing of the engines.
+// When nearly all that is asked for is got, the rest says nothing about the engines.
 func TestSmallRefusalsHoldNobodyBack(t *testing.T) {
 	const capacity = 1_000_000
 	s, now := NewShares(), time.Unix(1000, 0)
--- a/pkg/placement/shares.go
+++ b/pkg/placement/shares.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// shareWindow is the time constant in seconds with which traffic is forgotten: short
-// enough that an organisation which begins to ask gets its share within a second or two.
+// shareWindow is the time constant, in seconds, with which past traffic decays: short enough that
+// an organisation that starts to send requests gets its share within a second or two.
 const shareWindow = 2.0
 
-// leastDone is the part of the declared capacity that is shared at least. Just after a
-// start nobody has got anything, and of nothing everybody would have more than its share.
-const leastDone = 0.5
+// minCapacityPart is the part of the declared capacity that is shared at least. Just after a start
+// nobody has got anything yet, and without a lower bound everybody would be over its share.
+const minCapacityPart = 0.5
 
 // Use is an organisation's traffic, in tokens a second.
 type Use struct {
 	Asked float64
-	// Got is what was given to engines, less what ended before it began there; Begun what began.
+	// Got is the traffic that was sent to engines, less what ended before it began there. Begun is
+	// the part of it that began.
 	Got   float64
 	Begun float64
 }
 
-// Shares compares what organisations get with the max-min share of the capacity that
-// each is due, over all routers.
+// Shares compares the traffic of organisations with their max-min fair shares of the capacity, over
+// all routers.
 type Shares struct {
 	mu     sync.Mutex
 	own    map[string]*account
 	others map[string]Use
-	// done is the most that was got together lately, at doneAt.
-	done   float64
-	doneAt time.Time
-	// asked is reused by each question for a standing.
-	asked []float64
+	// peak is the recent maximum of what all organisations got together, as of peakAt.
+	peak   float64
+	peakAt time.Time
+	// askedBuffer is reused by each call of Standing.
+	askedBuffer []float64
 }
 
-// account holds sums that decay.
+// account holds decaying sums.
 type account struct {
 	asked, got, begun float64
-	at                time.Time
+	updatedAt         time.Time
 }
 
 func (a *account) decay(now time.Time) {
-	passed := now.Sub(a.at).Seconds()
-	if passed > 0 {
-		f := math.Exp(-passed / shareWindow)
+	elapsed := now.Sub(a.updatedAt).Seconds()
+	if elapsed > 0 {
+		f := math.Exp(-elapsed / shareWindow)
 		a.asked *= f
 		a.got *= f
 		a.begun *= f
-		a.at = now
+		a.updatedAt = now
 	}
 }
 
-// NewShares returns empty accounts.
+// NewShares returns Shares without any traffic.
 func NewShares() *Shares { return &Shares{own: make(map[string]*account)} }
 
 func (s *Shares) account(org string, now time.Time) *account {
 	a := s.own[org]
 	if a == nil {
-		a = &account{at: now}
+		a = &account{updatedAt: now}
 		s.own[org] = a
 	}
 	a.decay(now)
@@ -73,34 +74,34 @@
 	s.account(org, now).asked += size
 }
 
-// Get counts a request that was given to an engine.
+// Get counts a request that was sent to an engine.
 func (s *Shares) Get(org string, size float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(org, now).got += size
 }
 
-// Return takes back a request that was given to an engine at given and never began there.
+// Return takes back a request that was sent to an engine at gotAt and never began there.
 //
-// Guard: some of what is given fails, is refused by engines, or is left by its caller first, most
-// of it at a router that is short of processor. Counted as got, it makes an organisation whose
-// callers come there seem to have what it never had, and others keep ahead of it.
-func (s *Shares) Return(org string, size float64, given, now time.Time) {
+// Some requests that were sent fail, are refused by engines, or are cancelled by their callers
+// first, most of them at a router that lacks processor time. If they counted, an organisation whose
+// callers use that router would seem to get what it never had, and others would keep ahead of it.
+func (s *Shares) Return(org string, size float64, gotAt, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(org, now)
-	left := size * math.Exp(-max(0, now.Sub(given).Seconds())/shareWindow)
-	a.got = max(0, a.got-left)
+	remaining := size * math.Exp(-max(0, now.Sub(gotAt).Seconds())/shareWindow)
+	a.got = max(0, a.got-remaining)
 }
 
-// Begin counts a request whose first event came.
+// Begin counts a request whose first event arrived.
 func (s *Shares) Begin(org string, size float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(org, now).begun += size
 }
 
-// Own gives this router's part of the traffic.
+// Own returns the traffic at this router, by organisation.
 func (s *Shares) Own(now time.Time) map[string]Use {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,145 +117,145 @@
 	return Use{Asked: a.asked / shareWindow, Got: a.got / shareWindow, Begun: a.begun / shareWindow}
 }
 
-// SetOthers replaces the other routers' part.
+// SetOthers replaces the traffic that the other routers reported.
 func (s *Shares) SetOthers(others map[string]Use) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.others = others
 }
 
-// Standing is how an organisation stands.
+// Standing compares an organisation's traffic with its fair share.
 type Standing struct {
-	// Share is what it gets over what it is due: over 1 it has more than its share.
+	// Share is what it gets over what it is due: over 1 it is over its share.
 	Share float64
-	// Full is whether all that the engines are declared to do is in use.
+	// Full is whether the whole declared capacity of the engines is in use.
 	Full bool
-	// Ahead is what it gets over the least that another organisation gets which asks for as much;
-	// 0 for one within its share.
+	// Ahead is what it gets over the least that any organisation asking for as much gets; 0 for an
+	// organisation within its share.
 	Ahead float64
 }
 
-// Standing gives how an organisation stands at a capacity in tokens a second.
+// Standing returns an organisation's standing at a capacity in tokens a second.
 //
-// It is asked for each request, so it makes no map of all organisations and no new list
+// It is called for each request, so it allocates no map of all organisations and no new slice
 // (BenchmarkStanding).
 func (s *Shares) Standing(org string, capacity float64, now time.Time) Standing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var mine Use
 	got, asked := 0.0, 0.0
-	s.asked = s.asked[:0]
-	s.each(now, func(name string, use Use) {
+	s.askedBuffer = s.askedBuffer[:0]
+	s.forEach(now, func(name string, use Use) {
 		got += use.Got
 		asked += use.Asked
-		s.asked = append(s.asked, use.Asked)
+		s.askedBuffer = append(s.askedBuffer, use.Asked)
 		if name == org {
 			mine = use
 		}
 	})
 	standing := Standing{Full: got >= capacity}
-	due := waterLevel(s.asked, shared(s.mostDone(got, now), asked, capacity))
+	due := waterLevel(s.askedBuffer, sharedCapacity(s.recentPeak(got, now), asked, capacity))
 	if due <= 0 {
 		return standing
 	}
 	standing.Share = mine.Got / due
 	if standing.Share > 1 {
-		standing.Ahead = s.ahead(mine.Got, due, now)
+		standing.Ahead = s.aheadOfLeast(mine.Got, due, now)
 	}
 	return standing
 }
 
-// ahead is what an organisation that gets got has over the least that another one gets which asks
-// for as much.
-func (s *Shares) ahead(got, due float64, now time.Time) float64 {
+// aheadOfLeast is got over the least that any organisation asking for as much gets.
+func (s *Shares) aheadOfLeast(got, due float64, now time.Time) float64 {
 	least := got
-	s.each(now, func(_ string, use Use) {
+	s.forEach(now, func(_ string, use Use) {
 		if use.Asked >= got {
 			least = min(least, use.Got)
 		}
 	})
-	return got / max(least, leastBehind*due)
+	return got / max(least, minGotOfDue*due)
 }
 
-// leastBehind bounds, as a part of its due, what is believed of an organisation that gets nearly
-// nothing: the others are held back for its sake only as far as it can grow within a report or
-// two.
-const leastBehind = 0.2
+// minGotOfDue bounds the least got, as a part of what is due: the others are held back for the sake
+// of an organisation that gets nearly nothing only as far as it can grow within a report or two.
+const minGotOfDue = 0.2
 
-// doneWindow is the time constant in seconds with which the most that engines did is forgotten.
-const doneWindow = 20.0
+// peakWindow is the time constant, in seconds, with which the peak decays.
+const peakWindow = 20.0
 
-// mostDone is the most that organisations got together in the last seconds.
+// recentPeak is the most that all organisations got together in the last seconds.
 //
-// Guard: organisations over their share give way, and less is got for it. If what is shared fell
-// with it, they would be further over, and so on until engines are idle.
-func (s *Shares) mostDone(got float64, now time.Time) float64 {
-	passed := max(0, now.Sub(s.doneAt).Seconds())
-	s.done, s.doneAt = max(got, s.done*math.Exp(-passed/doneWindow)), now
-	return s.done
+// Organisations over their share are held back, and less is got. If the shared capacity fell with
+// it, they would be further over their share, and so on until engines are idle.
+func (s *Shares) recentPeak(got float64, now time.Time) float64 {
+	elapsed := max(0, now.Sub(s.peakAt).Seconds())
+	s.peak, s.peakAt = max(got, s.peak*math.Exp(-elapsed/peakWindow)), now
+	return s.peak
 }
 
-// shared is the capacity that is shared when organisations ask for asked together and got done at most.
+// sharedCapacity is the capacity to share when organisations ask for asked together and got peak at
+// most.
 //
-// Guard: engines that crash or read prompts again do less than they are said to. Shares
-// of the nominal capacity would then be more than anybody gets, nobody would be over its
-// share, and whoever asks most would get most. Engines whose slots are the bound may do a fifth
-// of it at all times: where far less is got than asked for, what is got is all that they do.
-func shared(done, asked, capacity float64) float64 {
+// Engines that crash or recompute prompts do less than they are declared to. With shares of the
+// declared capacity nobody would be over its share, and whoever asks most would get most. Engines
+// that are limited by their slots may do a fifth of their declared capacity at all times: where far
+// less is got than asked for, what is got is taken as the capacity.
+func sharedCapacity(peak, asked, capacity float64) float64 {
 	if asked <= 0 {
-		return min(capacity, max(done, leastDone*capacity))
+		return min(capacity, max(peak, minCapacityPart*capacity))
 	}
-	saturated := min(1, max(0, (mostServed-done/asked)/(mostServed-leastServed)))
-	least := (1-saturated)*leastDone*capacity + saturated*leastOfAsked*min(asked, capacity)
-	return min(capacity, max(done, least))
+	saturated := min(1, max(0, (unsaturatedServed-peak/asked)/(unsaturatedServed-saturatedServed)))
+	floor := (1-saturated)*minCapacityPart*capacity + saturated*minAskedPart*min(asked, capacity)
+	return min(capacity, max(peak, floor))
 }
 
-// Parts of what is asked: from mostServed on, what isn't got says nothing of the engines, below
-// leastServed they are taken to do no more. Just after a start little has been got yet, so
-// leastOfAsked is shared at least.
+// Parts of the traffic that is asked for: from unsaturatedServed on, what isn't got says nothing
+// about the engines; below saturatedServed they are assumed to be saturated. Just after a start
+// little has been got yet, so at least minAskedPart is shared.
 const (
-	mostServed   = 0.85
-	leastServed  = 0.65
-	leastOfAsked = 0.2
+	unsaturatedServed = 0.85
+	saturatedServed   = 0.65
+	minAskedPart      = 0.2
 )
 
-// each gives the traffic of each organisation over all routers.
-func (s *Shares) each(now time.Time, take func(org string, use Use)) {
+// forEach calls visit with the traffic of each organisation over all routers.
+func (s *Shares) forEach(now time.Time, visit func(org string, use Use)) {
 	for org, use := range s.others {
-		if _, here := s.own[org]; here {
+		if _, isOwn := s.own[org]; isOwn {
 			own := s.ownUse(org, now)
 			use.Asked += own.Asked
 			use.Got += own.Got
 		}
-		take(org, use)
+		visit(org, use)
 	}
 	for org := range s.own {
-		if _, told := s.others[org]; !told {
-			take(org, s.ownUse(org, now))
+		if _, reported := s.others[org]; !reported {
+			visit(org, s.ownUse(org, now))
 		}
 	}
 }
 
-// All gives the traffic of all organisations over all routers.
+// All returns the traffic of all organisations over all routers.
 func (s *Shares) All(now time.Time) map[string]Use {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	uses := make(map[string]Use, len(s.own)+len(s.others))
-	s.each(now, func(org string, use Use) { uses[org] = use })
+	s.forEach(now, func(org string, use Use) { uses[org] = use })
 	return uses
 }
 
-// waterLevel is the share at which the capacity is used up when nobody gets more than it
-// asks for; infinite when all can have what they ask. It sorts asked.
+// waterLevel returns the max-min fair share: the amount at which the capacity is used up when
+// nobody gets more than it asks for; infinite when everybody can have what it asks for. It sorts
+// asked.
 func waterLevel(asked []float64, capacity float64) float64 {
 	slices.Sort(asked)
-	left := capacity
+	remaining := capacity
 	for i, a := range asked {
-		level := left / float64(len(asked)-i)
+		level := remaining / float64(len(asked)-i)
 		if a >= level {
 			return level
 		}
-		left -= a
+		remaining -= a
 	}
 	return math.Inf(1)
 }
--- a/pkg/placement/shares_test.go
+++ b/pkg/placement/shares_test.go
@@ -18,7 +18,7 @@
 	return waterLevel(asked, capacity)
 }
 
-func TestWaterLevelSharesWhatIsLeft(t *testing.T) {
+func TestWaterLevelSharesTheRest(t *testing.T) {
 	uses := map[string]Use{"small": {Asked: 10}, "large": {Asked: 100}, "huge": {Asked: 1000}}
 	require.InDelta(t, 55, levelOf(uses, 120), 1e-9)
 	require.True(t, math.IsInf(levelOf(uses, 2000), 1))
@@ -44,8 +44,8 @@
 	})
 }
 
-// Engines crash and do half of what they are declared to do. Measured against the
-// declared capacity nobody would be over its share, and whoever asks most would get most.
+// Guards against shares of the declared capacity when engines crash and do half of it: nobody would
+// be over its share, and whoever asks most would get most.
 func TestStandingIsMeasuredOnWhatEnginesDo(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
 	s.Ask("flood", 10_000, now)
@@ -59,9 +59,9 @@
 	require.True(t, s.Standing("flood", 400, now).Full)
 }
 
-// All routers start at once under load. Nobody has got anything yet; measured against
-// that, the first requests would put their organisations over their share, and most of
-// what comes in the first seconds would be refused while engines idle.
+// Guards against refusals while engines are idle after all routers start under load: nobody has got
+// anything yet, and measured against that the first requests would put their organisations over
+// their share.
 func TestStandingAfterAStart(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
 	for _, org := range []string{"a", "b", "c"} {
@@ -82,41 +82,41 @@
 	require.Greater(t, s.Standing("org", 600, now).Share, 1.0)
 }
 
-func TestUseIsForgotten(t *testing.T) {
+func TestTrafficDecays(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
 	s.Get("org", 1000, now)
 	later := s.Own(now.Add(10 * time.Second))["org"].Got
 	require.Less(t, later, 10.0)
 }
 
-// What is taken back leaves what it would have left if it had never been given, however late that
-// is, and never less than nothing.
-func TestWhatIsTakenBackLeavesNothing(t *testing.T) {
+// Requests that are taken back leave what would remain if they had never been counted, however late
+// they are taken back, and the sum is never negative.
+func TestRequestsTakenBackLeaveNoTraffic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, with := NewShares(), NewShares()
+		s, begunOnly := NewShares(), NewShares()
 		now := time.Unix(1000, 0)
-		type given struct {
+		type sentRequest struct {
 			size float64
 			at   time.Time
 		}
-		var vain []given
+		var notBegun []sentRequest
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
-			one := given{rapid.Float64Range(1, 1e5).Draw(t, "size"), now}
-			s.Get("org", one.size, now)
+			sent := sentRequest{rapid.Float64Range(1, 1e5).Draw(t, "size"), now}
+			s.Get("org", sent.size, now)
 			if rapid.Bool().Draw(t, "begins") {
-				with.Get("org", one.size, now)
+				begunOnly.Get("org", sent.size, now)
 			} else {
-				vain = append(vain, one)
+				notBegun = append(notBegun, sent)
 			}
 		}
-		for _, one := range vain {
+		for _, sent := range notBegun {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "later")) * time.Millisecond)
-			s.Return("org", one.size, one.at, now)
+			s.Return("org", sent.size, sent.at, now)
 		}
-		got, want := s.Own(now)["org"].Got, with.Own(now)["org"].Got
+		got, want := s.Own(now)["org"].Got, begunOnly.Own(now)["org"].Got
 		if got < 0 || math.Abs(got-want) > 1e-6*(1+want) {
-			t.Fatalf("%v is left, %v began", got, want)
+			t.Fatalf("got %v remains, want %v", got, want)
 		}
 	})
 }
