--- a/pkg/prompt/prompt.go
+++ b/pkg/prompt/prompt.go
@@ -1,4 +1,4 @@
-// Package prompt describes the work in a request to a model engine.
+// Package prompt describes the work of a request to a model engine.
 package prompt
 
 // Part is a piece of a prompt that several requests may share.
@@ -7,20 +7,20 @@
 	Tokens int
 }
 
-// Prompt is what a caller says of its request.
+// Prompt is what a caller declares about its request.
 type Prompt struct {
 	Model string
 	// Input is the number of prompt tokens.
 	Input int
-	// MaxOutput is the largest number of tokens that are generated.
+	// MaxOutput is the largest number of tokens to generate.
 	MaxOutput int
-	// ExpectedOutput is the caller's guess of that number; 0 without one.
+	// ExpectedOutput is the caller's estimate of that number; 0 without one.
 	ExpectedOutput int
-	// Parts are the prompt's pieces in order. The last one is the request's own.
+	// Parts are the prompt's pieces in order. The last one belongs to the request alone.
 	Parts []Part
 }
 
-// Output is the number of tokens to plan with.
+// Output is the number of generated tokens to plan with.
 func (p *Prompt) Output() int {
 	if p.ExpectedOutput > 0 && p.ExpectedOutput < p.MaxOutput {
 		return p.ExpectedOutput
@@ -28,10 +28,10 @@
 	return p.MaxOutput
 }
 
-// Size is the prompt's use of capacity: a token read counts once, one generated twice.
+// Size is the prompt's use of capacity: a prompt token counts once, a generated one twice.
 func (p *Prompt) Size() float64 { return float64(p.Input + 2*p.Output()) }
 
-// Shared gives the parts that other requests may have as well.
+// Shared returns the parts that other requests may share.
 func (p *Prompt) Shared() []Part {
 	if len(p.Parts) == 0 {
 		return nil
