--- a/internal/experiment/emulator.go
+++ b/internal/experiment/emulator.go
@@ -47,7 +47,7 @@
 
 func fleet() replay.Service {
 	s := replay.Service{Objective: objective, MaxPause: longPause, Capacity: 400_000, Routers: routers, Told: reportAge,
-		Usual: placement.Pace{TokensPerMs: 60, First: 20 * time.Millisecond, Slot: 120 * time.Millisecond}}
+		Usual: placement.Speed{TokensPerMs: 60, FirstEvent: 20 * time.Millisecond, SlotTurn: 120 * time.Millisecond}}
 	for range engines {
 		s.Slow = append(s.Slow, usualSpeed)
 	}
--- a/internal/replay/calls.go
+++ b/internal/replay/calls.go
@@ -38,7 +38,7 @@
 
 // callRouter is one router with what it knows.
 type callRouter struct {
-	calls   pace.Calls
+	calls   pace.CallTimes
 	inflows *placement.Inflows
 	own     map[upstream.ID]int
 	others  map[upstream.ID]int
@@ -92,7 +92,7 @@
 type callWorld struct {
 	load      CallLoad
 	learn     bool
-	pace      placement.Pace
+	pace      placement.Speed
 	instances map[upstream.ID]*callInstance
 	list      []*upstream.Instance
 	routers   []*callRouter
@@ -111,7 +111,7 @@
 }
 
 func newCallWorld(l CallLoad, learn bool, fixed time.Duration) *callWorld {
-	w := &callWorld{load: l, learn: learn, pace: placement.Pace{TokensPerMs: 1, Slot: fixed}, instances: make(map[upstream.ID]*callInstance)}
+	w := &callWorld{load: l, learn: learn, pace: placement.Speed{TokensPerMs: 1, SlotTurn: fixed}, instances: make(map[upstream.ID]*callInstance)}
 	for i := range l.Instances {
 		in := &upstream.Instance{ID: upstream.ID(fmt.Sprint("i-", i)), Service: "s", Slots: l.Slots}
 		w.list = append(w.list, in)
@@ -136,14 +136,14 @@
 		}
 		in := c.Candidate.Instance
 		tried[in.ID] = true
-		waiting := placement.Waiting(c.Candidate.Load, in.Slots)
+		waiting := placement.QueueLength(c.Candidate.Load, in.Slots)
 		end, taken := w.instances[in.ID].take(at, time.Duration((0.5+random.Float64())*float64(w.load.Call)), w.load.Room)
 		if !taken {
 			result.Repeats++
 			continue
 		}
 		r.own[in.ID]++
-		r.inflows.Give("s", c.Added, w.clock(at))
+		r.inflows.Assign("s", c.AddedCost, w.clock(at))
 		w.pending = append(w.pending, callEnd{at: end, router: r, instance: in.ID, took: end - at, waiting: waiting})
 		if end-at <= w.load.Objective {
 			result.OnTime++
@@ -206,9 +206,9 @@
 	p := w.pace
 	long := r.calls.Mean("s")
 	if w.learn {
-		p.Call = long
+		p.CallTime = long
 	}
-	v := placement.Choose(placement.Request{Service: &routing.Service{Name: "s"}, Limits: shedding.Call(w.load.Objective, 0, long),
-		Unseen: r.inflows.Unseen("s", w.clock(at)), Draw: random.Float64()}, candidates, p)
+	v := placement.Choose(placement.Request{Service: &routing.Service{Name: "s"}, Limits: shedding.CallLimits(w.load.Objective, 0, long),
+		Unseen: r.inflows.Unseen("s", w.clock(at)), Random: random.Float64()}, candidates, p)
 	return v.Choice, v.OK
 }
--- a/internal/replay/engine.go
+++ b/internal/replay/engine.go
@@ -111,11 +111,11 @@
 // keeps are beginnings of prompts that an engine keeps, the least recently used first.
 type keeps struct {
 	most, held int
-	order      []placement.Link
+	order      []placement.Prefix
 }
 
 // tokens is how much of a prompt is kept; it counts as a use.
-func (k *keeps) tokens(chain []placement.Link) int {
+func (k *keeps) tokens(chain []placement.Prefix) int {
 	kept := 0
 	for _, link := range chain {
 		if !k.use(link) {
@@ -126,7 +126,7 @@
 	return kept
 }
 
-func (k *keeps) use(link placement.Link) bool {
+func (k *keeps) use(link placement.Prefix) bool {
 	for i, one := range k.order {
 		if one.Key == link.Key {
 			k.order = append(append(k.order[:i:i], k.order[i+1:]...), one)
@@ -136,10 +136,10 @@
 	return false
 }
 
-func (k *keeps) add(chain []placement.Link) {
+func (k *keeps) add(chain []placement.Prefix) {
 	before := 0
 	for _, link := range chain {
-		part := placement.Link{Key: link.Key, Tokens: link.Tokens - before}
+		part := placement.Prefix{Key: link.Key, Tokens: link.Tokens - before}
 		before = link.Tokens
 		if k.use(part) {
 			continue
--- a/internal/replay/load.go
+++ b/internal/replay/load.go
@@ -16,7 +16,7 @@
 	At           time.Duration
 	Organisation string
 	Prompt       *prompt.Prompt
-	chain        []placement.Link
+	chain        []placement.Prefix
 	// crowd is whether it comes to the first router, whatever the others do.
 	crowd bool
 }
@@ -74,7 +74,7 @@
 	p := &prompt.Prompt{Model: "m", Input: shared + int(own), MaxOutput: output,
 		Parts: []prompt.Part{{ID: id("document", document), Tokens: shared}, {ID: id("own", random.Int()), Tokens: int(own)}}}
 	org := l.organisation(random)
-	return &Request{At: at, Organisation: org, Prompt: p, chain: placement.Chain(p), crowd: org == l.Crowd}
+	return &Request{At: at, Organisation: org, Prompt: p, chain: placement.Prefixes(p), crowd: org == l.Crowd}
 }
 
 func (l Load) organisation(random *rand.Rand) string {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -18,7 +18,7 @@
 
 func service(slow ...float64) Service {
 	return Service{Objective: 800 * time.Millisecond, MaxPause: 500 * time.Millisecond, Capacity: 350_000, Slow: slow,
-		Usual: placement.Pace{TokensPerMs: 60, First: 20 * time.Millisecond, Slot: 120 * time.Millisecond}}
+		Usual: placement.Speed{TokensPerMs: 60, FirstEvent: 20 * time.Millisecond, SlotTurn: 120 * time.Millisecond}}
 }
 
 // load is one organisation that asks for several times its share, and five within theirs: long
--- a/internal/replay/routers.go
+++ b/internal/replay/routers.go
@@ -10,7 +10,7 @@
 // router is what one router knows of work in progress.
 type router struct {
 	index   int
-	ledger  *placement.Ledger
+	ledger  *placement.LoadTracker
 	inflows *placement.Inflows
 	// free is how many requests it can serve now, as of seen.
 	free float64
@@ -30,7 +30,7 @@
 func newRouters(s Service) *routers {
 	r := &routers{every: s.Told, serves: s.Serves}
 	for i := range max(1, s.Routers) {
-		r.list = append(r.list, &router{index: i, free: burst(s.Serves), ledger: placement.NewLedger(), inflows: placement.NewInflows()})
+		r.list = append(r.list, &router{index: i, free: burst(s.Serves), ledger: placement.NewLoadTracker(), inflows: placement.NewInflows()})
 	}
 	return r
 }
@@ -104,7 +104,7 @@
 			}
 			of := other.inflows.Own(now)["llm"]
 			total.Rate += of.Rate
-			total.Spare += of.Spare
+			total.OverShare += of.OverShare
 		}
 		one.ledger.SetOthers(loads)
 		one.inflows.SetOthers(map[string]placement.Inflow{"llm": total}, now)
@@ -112,6 +112,6 @@
 }
 
 func plus(a, b placement.Load) placement.Load {
-	return placement.Load{Running: a.Running + b.Running, Unread: a.Unread + b.Unread, Memory: a.Memory + b.Memory,
-		Fragile: a.Fragile + b.Fragile, Long: a.Long + b.Long}
+	return placement.Load{Running: a.Running + b.Running, PrefillTokens: a.PrefillTokens + b.PrefillTokens, KVTokens: a.KVTokens + b.KVTokens,
+		PauseWeight: a.PauseWeight + b.PauseWeight, LongPrompts: a.LongPrompts + b.LongPrompts}
 }
--- a/internal/replay/world.go
+++ b/internal/replay/world.go
@@ -28,7 +28,7 @@
 	// Capacity is what the engines are declared to do, in tokens a second.
 	Capacity float64
 	// Usual is the pace that the settings name.
-	Usual placement.Pace
+	Usual placement.Speed
 	// Slow is how many times slower than usual each engine is.
 	Slow []float64
 	// Routers is how many routers there are, one at least, Told the age that what one does has
@@ -51,8 +51,8 @@
 // placed is what a router knows of a request that it has placed.
 type placed struct {
 	choice  placement.Choice
-	entry   *placement.Entry
-	reading *pace.Reading
+	entry   *placement.InFlight
+	reading *pace.Prefill
 }
 
 // world is the routers before the engines. They hear late of each other's work in progress; what
@@ -64,9 +64,9 @@
 	declared  *routing.Service
 	engines   []*engine
 	routers   *routers
-	holdings  *placement.Holdings
+	holdings  *placement.KVIndex
 	shares    *placement.Shares
-	book      *pace.Book
+	book      *pace.Estimator
 	gates     *gates
 	random    *rand.Rand
 	results   map[string]*Result
@@ -90,7 +90,7 @@
 	engineOf := &routing.Engine{Slots: m.Slots, KVCapacity: 1 << 30, EventTokens: m.Event, KVTokenBytes: tokenBytes,
 		LinkBitsPerSecond: tokenBytes * bitsPerByte / m.Copied.Seconds()}
 	w := &world{decisions: d, service: s, model: &m, declared: &routing.Service{Name: "llm", Engine: engineOf},
-		routers: newRouters(s), holdings: placement.NewHoldings(), shares: placement.NewShares(), book: pace.NewBook(),
+		routers: newRouters(s), holdings: placement.NewKVIndex(), shares: placement.NewShares(), book: pace.NewEstimator(),
 		random: rand.New(rand.NewPCG(l.Seed, 2)), results: make(map[string]*Result)}
 	w.gates = newGates(s, w.declared)
 	for i, slow := range s.Slow {
@@ -160,63 +160,63 @@
 		w.result(r.Organisation).Refused++
 		return
 	}
-	w.shares.Ask(r.Organisation, r.Prompt.Size(), now)
+	w.shares.AddAsked(r.Organisation, r.Prompt.Size(), now)
 	choice, ok := w.choose(r, at, now)
 	if !ok {
 		w.result(r.Organisation).Refused++
 		return
 	}
-	w.shares.Get(r.Organisation, r.Prompt.Size(), now)
+	w.shares.AddGot(r.Organisation, r.Prompt.Size(), now)
 	w.sends(at, choice.Candidate.Instance, now)
 	life := choice.Candidate.Instance.Life()
-	w.holdings.Use(life, r.chain, now)
+	w.holdings.RecordUse(life, r.chain, now)
 	j := &job{request: r, left: r.Prompt.MaxOutput, at: r.At}
 	j.placed = placed{choice: choice, entry: at.ledger.Begin(life, w.work(r, choice)),
-		reading: w.book.Begin("llm", life, choice.Wait-choice.Queue, now)}
-	at.inflows.Give("llm", choice.Added, now)
+		reading: w.book.BeginPrefill("llm", life, choice.Wait-choice.Queue, now)}
+	at.inflows.Assign("llm", choice.AddedCost, now)
 	w.send(j)
 }
 
 func (w *world) work(r *Request, c placement.Choice) placement.Work {
-	return placement.Work{Prompt: r.Prompt, Unread: c.Reading, Fragile: w.fragile(r), Long: c.Long()}
+	return placement.Work{Prompt: r.Prompt, PrefillTokens: c.PrefillTokens, PauseWeight: w.fragile(r), LongPrompt: c.IsLongPrompt()}
 }
 
 func (w *world) fragile(r *Request) int {
 	if r.Prompt.MaxOutput <= w.model.Event {
 		return 0
 	}
-	return placement.Weight(r.Prompt.Size())
+	return placement.StreamWeight(r.Prompt.Size())
 }
 
 func (w *world) choose(r *Request, at *router, now time.Time) (placement.Choice, bool) {
-	kept := w.holdings.Kept(r.chain, now)
+	kept := w.holdings.Lookup(r.chain, now)
 	var candidates []placement.Candidate
 	for i, e := range w.engines {
 		if !w.open(i, at, now) {
 			continue
 		}
 		of := kept[e.instance.Life()]
-		c := placement.Candidate{Instance: e.instance, Kept: of.Sent, Settled: of.Settled}
+		c := placement.Candidate{Instance: e.instance, Cached: of.Sent, Confirmed: of.Confirmed}
 		if w.decisions.Speeds {
 			c.Slowness = w.book.Slowness(e.instance.Life(), now)
 		}
 		candidates = append(candidates, c)
 	}
-	at.ledger.Fill(candidates, now)
-	req := placement.Request{Work: placement.Work{Prompt: r.Prompt, Fragile: w.fragile(r)}, Chain: r.chain, Service: w.declared, Fetch: w.decisions.Fetch}
+	at.ledger.FillLoads(candidates, now)
+	req := placement.Request{Work: placement.Work{Prompt: r.Prompt, PauseWeight: w.fragile(r)}, Prefixes: r.chain, Service: w.declared, AllowFetch: w.decisions.Fetch}
 	if w.decisions.Speeds {
 		req.Scale = w.book.Scale("llm", r.Prompt.Input)
 	}
 	if w.decisions.Pauses {
-		req.MaxPause, req.Pauses = w.service.MaxPause, w.book.Curve("llm")
+		req.MaxPause, req.PauseCurve = w.service.MaxPause, w.book.Curve("llm")
 	}
 	own := time.Duration(max(1, req.Scale) * float64(r.Prompt.Input) / w.service.Usual.TokensPerMs * float64(time.Millisecond))
-	req.Limits = shedding.Prompt(shedding.Ask{Objective: w.service.Objective, Reading: own, Standing: w.shares.Standing(r.Organisation, w.service.Capacity, now)})
-	if req.Limits.Spare {
-		at.inflows.AskSpare("llm", now)
+	req.Limits = shedding.PromptLimits(shedding.Request{Objective: w.service.Objective, Prefill: own, Standing: w.shares.Standing(r.Organisation, w.service.Capacity, now)})
+	if req.Limits.OverShare {
+		at.inflows.CountOverShare("llm", now)
 	}
 	if w.decisions.Herds {
-		req.Unseen, req.Draw = at.inflows.Unseen("llm", now), w.random.Float64()
+		req.Unseen, req.Random = at.inflows.Unseen("llm", now), w.random.Float64()
 	}
 	found := placement.Choose(req, candidates, w.service.Usual)
 	return found.Choice, found.OK
@@ -227,7 +227,7 @@
 	e := w.engineOf(j.placed.choice.Candidate.Instance)
 	r := j.request
 	kept := e.kept.tokens(r.chain)
-	if holder := j.placed.choice.Holder; holder != nil {
+	if holder := j.placed.choice.FetchFrom; holder != nil {
 		fetched := w.engineOf(holder).kept.tokens(r.chain)
 		j.at += time.Duration(max(0, fetched-kept)) * w.model.Copied
 		kept = max(kept, fetched)
@@ -261,23 +261,23 @@
 func (w *world) began(j *job, at time.Duration) {
 	now := epoch.Add(at)
 	p := j.placed
-	p.entry.Read()
-	p.reading.Read(now)
+	p.entry.MarkPrefilled()
+	p.reading.FirstEvent(now)
 	life := p.choice.Candidate.Instance.Life()
-	w.holdings.Settle(life, j.request.chain)
+	w.holdings.Confirm(life, j.request.chain)
 	w.book.Observe(pace.Sample{Service: "llm", Life: life, Context: j.request.Prompt.Input, Base: p.choice.Base,
-		Queue: p.choice.Queue, Seen: at - j.request.At}, now)
+		Queue: p.choice.Queue, Measured: at - j.request.At}, now)
 	w.pauses(w.engineOf(p.choice.Candidate.Instance))
 }
 
 // pauses tells the router of the pauses of an engine's streams so far.
 func (w *world) pauses(e *engine) {
 	for _, j := range e.runs {
-		if j.longest >= pace.LeastPause {
-			w.book.Paused(e.instance.Life(), epoch.Add(j.ended-j.longest), epoch.Add(j.ended))
+		if j.longest >= pace.MinPause {
+			w.book.ObservePause(e.instance.Life(), epoch.Add(j.ended-j.longest), epoch.Add(j.ended))
 		}
 		if j.longest > w.service.MaxPause {
-			j.placed.entry.Spoil()
+			j.placed.entry.MarkLate()
 		}
 	}
 }
--- a/pkg/claimant/claim.go
+++ b/pkg/claimant/claim.go
@@ -54,8 +54,8 @@
 		Cell:    c.cell.id,
 		Org:     r.Org,
 		Class:   r.Class,
-		Prefix:  r.Prefix,
-		Content: r.Content,
+		Prefix:  r.PrefixHash,
+		Content: r.ContentHash,
 		AgeMs:   millis(now.Sub(c.ticket.since)),
 		Exclude: c.exclude,
 	}
--- a/pkg/claimant/ticket.go
+++ b/pkg/claimant/ticket.go
@@ -27,8 +27,8 @@
 
 func newTicket(r sched.Request, now time.Time) *ticket {
 	t := &ticket{req: r, since: now, answer: make(chan answer, 1)}
-	if !r.Since.IsZero() && r.Since.Before(now) {
-		t.since = r.Since
+	if !r.AcceptedAt.IsZero() && r.AcceptedAt.Before(now) {
+		t.since = r.AcceptedAt
 	}
 	return t
 }
--- a/pkg/edge/request.go
+++ b/pkg/edge/request.go
@@ -73,12 +73,12 @@
 
 func (q *request) claim() sched.Request {
 	return sched.Request{
-		Org:      q.org.Name,
-		Class:    q.class,
-		Pool:     q.route.Pool,
-		Since:    q.received,
-		Prefix:   q.prefix,
-		Content:  q.content,
-		Deadline: q.received.Add(q.deadline),
+		Org:         q.org.Name,
+		Class:       q.class,
+		Pool:        q.route.Pool,
+		AcceptedAt:  q.received,
+		PrefixHash:  q.prefix,
+		ContentHash: q.content,
+		Deadline:    q.received.Add(q.deadline),
 	}
 }
--- a/pkg/gateway/fake_test.go
+++ b/pkg/gateway/fake_test.go
@@ -98,7 +98,7 @@
 	w.gateway = New(Settings{PrefillTokensPerMs: 50, FirstEvent: time.Millisecond, SlotTurn: time.Millisecond,
 		RepeatRatio: 1, RepeatSlack: 100, RepeatWindow: 10 * time.Second}, Parts{
 		Catalog: w.catalog, Dialect: plainDialect{}, Pools: forward.NewPools("X-Id"), Health: upstream.NewHealth(),
-		Ledger: placement.NewLedger(), Holdings: placement.NewHoldings(), Shares: placement.NewShares(), Inflows: placement.NewInflows(), Paces: pace.NewBook(),
+		Ledger: placement.NewLoadTracker(), Holdings: placement.NewKVIndex(), Shares: placement.NewShares(), Inflows: placement.NewInflows(), Paces: pace.NewEstimator(),
 		Warmup:   w.cold(),
 		Suspects: quarantine.New(quarantine.Config{Limit: CrashLimit, FadeAfter: SuspectFor}),
 		Peers:    onePeer{}, Crowded: func() bool { return false }, Overrun: func() bool { return w.overrun }, Late: func() bool { return w.late }, Log: quiet,
@@ -227,5 +227,5 @@
 
 // fullLoad has the first instance read for ten seconds, for other routers.
 func fullLoad() map[upstream.Life]placement.Load {
-	return map[upstream.Life]placement.Load{{ID: "i0"}: {Running: 1, Unread: 500_000}}
+	return map[upstream.Life]placement.Load{{ID: "i0"}: {Running: 1, PrefillTokens: 500_000}}
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -23,17 +23,17 @@
 	dialect  Dialect
 	pools    *forward.Pools
 	health   *upstream.Health
-	ledger   *placement.Ledger
-	holdings *placement.Holdings
+	ledger   *placement.LoadTracker
+	holdings *placement.KVIndex
 	shares   *placement.Shares
 	inflows  *placement.Inflows
-	paces    *pace.Book
-	budget   *placement.Budget
+	paces    *pace.Estimator
+	budget   *placement.RetryBudget
 	warmup   *warmup.Gate
 	suspects *quarantine.List
 	peers    Peers
 	// calls tells how long calls without a prompt take.
-	calls   pace.Calls
+	calls   pace.CallTimes
 	crowded func() bool
 	overrun func() bool
 	late    func() bool
@@ -68,11 +68,11 @@
 	Dialect  Dialect
 	Pools    *forward.Pools
 	Health   *upstream.Health
-	Ledger   *placement.Ledger
-	Holdings *placement.Holdings
+	Ledger   *placement.LoadTracker
+	Holdings *placement.KVIndex
 	Shares   *placement.Shares
 	Inflows  *placement.Inflows
-	Paces    *pace.Book
+	Paces    *pace.Estimator
 	// Warmup bounds what cold upstreams get.
 	Warmup   *warmup.Gate
 	Suspects *quarantine.List
@@ -96,7 +96,7 @@
 		catalog: p.Catalog, dialect: p.Dialect, pools: p.Pools, health: p.Health,
 		ledger: p.Ledger, holdings: p.Holdings, shares: p.Shares, inflows: p.Inflows, paces: p.Paces, warmup: p.Warmup, suspects: p.Suspects, peers: p.Peers, crowded: p.Crowded, overrun: p.Overrun, late: p.Late, log: p.Log,
 		meter:  newMeter(p.Metrics),
-		budget: new(placement.Budget),
+		budget: new(placement.RetryBudget),
 
 		departures: newDepartures(p.Log),
 	}
@@ -145,9 +145,9 @@
 // Active is the number of requests that are being served.
 func (g *Gateway) Active() int64 { return g.active.Load() }
 
-func (g *Gateway) pace() placement.Pace {
+func (g *Gateway) pace() placement.Speed {
 	s := g.settings.Load()
-	return placement.Pace{TokensPerMs: s.PrefillTokensPerMs, First: s.FirstEvent, Slot: s.SlotTurn}
+	return placement.Speed{TokensPerMs: s.PrefillTokensPerMs, FirstEvent: s.FirstEvent, SlotTurn: s.SlotTurn}
 }
 
 // until gives the moment at which a request that came at start gets its final answer.
--- a/pkg/gateway/handle.go
+++ b/pkg/gateway/handle.go
@@ -66,14 +66,14 @@
 		return errSuspect()
 	}
 	r.end = until(r.start, r.route.Timeout, r.ask.Deadline)
-	r.chain = placement.Chain(r.ask.Prompt)
+	r.chain = placement.Prefixes(r.ask.Prompt)
 	r.service = table.Service(r.route.Pick(draw(r.ask.RequestID)))
 	if r.service == nil {
 		return errNoUpstream()
 	}
-	g.budget.Request(r.service.Name, r.start)
+	g.budget.CountRequest(r.service.Name, r.start)
 	if r.ask.Prompt != nil {
-		g.shares.Ask(r.org, r.ask.Prompt.Size(), r.start)
+		g.shares.AddAsked(r.org, r.ask.Prompt.Size(), r.start)
 	}
 	return nil
 }
--- a/pkg/gateway/line_bench_test.go
+++ b/pkg/gateway/line_bench_test.go
@@ -36,7 +36,7 @@
 
 func benchRequest() *request {
 	r := &request{start: time.Now(), ask: Ask{RequestID: "9c41d07be2a35f68"}, version: 4711, org: "hule930", route: &routing.Route{Name: "lohu930", Kind: routing.Stream},
-		service: &routing.Service{Name: "model"}, standing: placement.Standing{Share: 7.25}, tried: map[upstream.ID]bool{}}
+		service: &routing.Service{Name: "model"}, standing: placement.Standing{ShareRatio: 7.25}, tried: map[upstream.ID]bool{}}
 	r.trail.decided = decided{Candidates: 64, Routers: 86, ListAgeMs: 240, SoonestMs: 812, QueueMs: 640, LimitMs: 640, QueueLimitMs: 92, Occupancy: 0.14}
 	return r
 }
--- a/pkg/gateway/mechanisms.go
+++ b/pkg/gateway/mechanisms.go
@@ -25,13 +25,13 @@
 // limits lifts the limits of those that are switched off.
 func (m Mechanisms) limits(l *placement.Limits) {
 	if m.Yield {
-		l.Queue, l.OwnQueue, l.Spare, l.HeldBack = l.Wait, l.Wait, false, 0
+		l.Queue, l.ChosenQueue, l.OverShare, l.ShedFraction = l.Wait, l.Wait, false, 0
 	}
 	if m.Occupancy {
 		l.Occupancy = 0
 	}
 	if m.Reserve {
-		l.Reserve = 0
+		l.RecomputeReserve = 0
 	}
 	if m.Harm {
 		l.Harm = 0
--- a/pkg/gateway/place.go
+++ b/pkg/gateway/place.go
@@ -30,19 +30,19 @@
 	if len(candidates) == 0 {
 		return placement.Choice{}, errNoUpstream()
 	}
-	req := placement.Request{Work: placement.Work{Prompt: r.ask.Prompt, Fragile: r.fragile()}, Chain: r.chain, Service: r.service, Zone: g.settings.Load().Zone}
+	req := placement.Request{Work: placement.Work{Prompt: r.ask.Prompt, PauseWeight: r.fragile()}, Prefixes: r.chain, Service: r.service, Zone: g.settings.Load().Zone}
 	g.learned(r, &req)
 	g.limit(r, &req, now)
-	if req.Limits.Spare {
-		g.inflows.AskSpare(r.service.Name, now)
+	if req.Limits.OverShare {
+		g.inflows.CountOverShare(r.service.Name, now)
 	}
 	if !g.settings.Load().Off.Herds {
-		req.Unseen, req.Draw = g.inflows.Unseen(r.service.Name, now), rand.Float64()
+		req.Unseen, req.Random = g.inflows.Unseen(r.service.Name, now), rand.Float64()
 	}
 	found := placement.Choose(req, candidates, g.paceFor(r))
 	r.trail.decided.limits(req, found)
 	if !found.OK {
-		return placement.Choice{}, errOverloaded(shedding.ComeBack(found, req.Limits, rand.Float64()))
+		return placement.Choice{}, errOverloaded(shedding.RetryAfter(found, req.Limits, rand.Float64()))
 	}
 	return found.Choice, nil
 }
@@ -51,10 +51,10 @@
 func (r *request) isCall() bool { return r.service.Engine == nil || r.ask.Prompt == nil }
 
 // paceFor is what is known of the speed of the instances that may run a request.
-func (g *Gateway) paceFor(r *request) placement.Pace {
+func (g *Gateway) paceFor(r *request) placement.Speed {
 	p := g.pace()
 	if r.isCall() {
-		p.Call = g.calls.Mean(r.service.Name)
+		p.CallTime = g.calls.Mean(r.service.Name)
 	}
 	return p
 }
@@ -63,7 +63,7 @@
 func (g *Gateway) called(r *request, c placement.Choice, took time.Duration) {
 	if r.isCall() {
 		in := c.Candidate.Instance
-		g.calls.Observe(r.service.Name, took, placement.Waiting(c.Candidate.Load, in.Slots), in.Slots)
+		g.calls.Observe(r.service.Name, took, placement.QueueLength(c.Candidate.Load, in.Slots), in.Slots)
 	}
 }
 
@@ -73,13 +73,13 @@
 		return
 	}
 	off := g.settings.Load().Off
-	req.Fetch = !off.Fetch
+	req.AllowFetch = !off.Fetch
 	if !off.Speeds {
 		req.Scale = g.paces.Scale(r.service.Name, r.ask.Prompt.Input)
 	}
 	if !off.Pauses {
 		req.MaxPause = g.catalog.Table().MaxPause(r.service.Name)
-		req.Pauses = g.paces.Curve(r.service.Name)
+		req.PauseCurve = g.paces.Curve(r.service.Name)
 	}
 }
 
@@ -91,7 +91,7 @@
 // those that are left out as they are cold.
 func (g *Gateway) candidates(list []placement.Candidate, r *request, now time.Time) (_ []placement.Candidate, cold int) {
 	members := g.catalog.Instances().Of(r.service.Name)
-	kept := g.holdings.Kept(r.chain, now)
+	kept := g.holdings.Lookup(r.chain, now)
 	g.health.EachUsable(members, now, func(in *upstream.Instance, handicap time.Duration) {
 		if !g.catalog.Placeable(in) || r.tried[in.ID] {
 			return
@@ -101,20 +101,20 @@
 			return
 		}
 		of := kept[in.Life()]
-		list = append(list, placement.Candidate{Instance: in, Kept: of.Sent, Settled: of.Settled, Handicap: handicap})
+		list = append(list, placement.Candidate{Instance: in, Cached: of.Sent, Confirmed: of.Confirmed, Handicap: handicap})
 	})
 	if r.service.Engine != nil && !g.settings.Load().Off.Speeds {
 		for i := range list {
 			list[i].Slowness = g.paces.Slowness(list[i].Instance.Life(), now)
 		}
 	}
-	g.ledger.Fill(list, now)
+	g.ledger.FillLoads(list, now)
 	return list, cold
 }
 
 // work is what a choice has its instance do.
 func (g *Gateway) work(r *request, c placement.Choice) placement.Work {
-	return placement.Work{Prompt: r.ask.Prompt, Unread: c.Reading, Long: c.Long(), Fragile: r.fragile()}
+	return placement.Work{Prompt: r.ask.Prompt, PrefillTokens: c.PrefillTokens, LongPrompt: c.IsLongPrompt(), PauseWeight: r.fragile()}
 }
 
 // fragile is the request's weight if it is a stream that a long pause makes late, else 0.
@@ -122,21 +122,21 @@
 	if r.route.Kind != routing.Stream || r.route.MaxPause <= 0 || r.ask.Prompt == nil || r.service.Engine == nil {
 		return 0
 	}
-	if r.ask.Prompt.Output() <= r.service.Engine.EventTokens {
+	if r.ask.Prompt.PlannedOutput() <= r.service.Engine.EventTokens {
 		return 0 // one event, no pause
 	}
-	return placement.Weight(r.ask.Prompt.Size())
+	return placement.StreamWeight(r.ask.Prompt.Size())
 }
 
 // limit sets what the request may find at an instance.
 func (g *Gateway) limit(r *request, req *placement.Request, now time.Time) {
 	if r.isCall() {
-		req.Limits = shedding.Call(r.route.Objective, now.Sub(r.start), g.calls.Mean(r.service.Name))
+		req.Limits = shedding.CallLimits(r.route.Objective, now.Sub(r.start), g.calls.Mean(r.service.Name))
 		return
 	}
 	own := max(1, req.Scale) * float64(r.ask.Prompt.Input) / g.settings.Load().PrefillTokensPerMs * float64(time.Millisecond)
 	r.standing = g.shares.Standing(r.org, g.capacity(), now)
-	req.Limits = shedding.Prompt(shedding.Ask{Objective: r.route.Objective, Waited: now.Sub(r.start), Reading: time.Duration(own), Standing: r.standing})
+	req.Limits = shedding.PromptLimits(shedding.Request{Objective: r.route.Objective, Waited: now.Sub(r.start), Prefill: time.Duration(own), Standing: r.standing})
 	g.settings.Load().Off.limits(&req.Limits)
 }
 
--- a/pkg/gateway/place_bench_test.go
+++ b/pkg/gateway/place_bench_test.go
@@ -20,7 +20,7 @@
 // A request's engines are looked up at one of many routers; nobody keeps its prompt.
 func BenchmarkCandidates(b *testing.B) {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-	g := New(Settings{}, Parts{Catalog: catalog.New(quiet), Health: upstream.NewHealth(), Ledger: placement.NewLedger(), Holdings: placement.NewHoldings(),
+	g := New(Settings{}, Parts{Catalog: catalog.New(quiet), Health: upstream.NewHealth(), Ledger: placement.NewLoadTracker(), Holdings: placement.NewKVIndex(),
 		Peers: onePeer{}, Log: quiet})
 	var list []upstream.Instance
 	loads := make(map[upstream.Life]placement.Load)
@@ -31,7 +31,7 @@
 	}
 	g.catalog.Replace(list, 1, time.Now(), "bench")
 	g.ledger.SetOthers(loads)
-	r := &request{service: &routing.Service{Name: "app"}, chain: []placement.Link{{Key: 1, Tokens: 800}, {Key: 2, Tokens: 1210}}}
+	r := &request{service: &routing.Service{Name: "app"}, chain: []placement.Prefix{{Key: 1, Tokens: 800}, {Key: 2, Tokens: 1210}}}
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/gateway/place_test.go
+++ b/pkg/gateway/place_test.go
@@ -25,18 +25,18 @@
 		return req.Limits
 	}
 	within, over, far := standing(3e5), standing(7.5e5), standing(5e6)
-	require.EqualValues(t, 2, within.Reserve)
+	require.EqualValues(t, 2, within.RecomputeReserve)
 	require.Equal(t, within.Wait, within.Queue)
 	require.Zero(t, within.Occupancy)
 
-	require.EqualValues(t, 3, over.Reserve, "it may move to another engine")
+	require.EqualValues(t, 3, over.RecomputeReserve, "it may move to another engine")
 	require.Less(t, over.Queue, within.Queue)
 	require.InDelta(t, 1/1.5, over.Occupancy, 0.01)
 
-	require.EqualValues(t, 10, far.Reserve)
+	require.EqualValues(t, 10, far.RecomputeReserve)
 	lifted := far
 	Mechanisms{Yield: true, Occupancy: true, Reserve: true, Harm: true}.limits(&lifted)
-	require.Equal(t, placement.Limits{Wait: far.Wait, Queue: far.Wait, OwnQueue: far.Wait, Stay: true}, lifted, "switched off for a trial")
+	require.Equal(t, placement.Limits{Wait: far.Wait, Queue: far.Wait, ChosenQueue: far.Wait, ReserveIgnoresFetch: true}, lifted, "switched off for a trial")
 	require.Less(t, far.Queue, over.Queue/10)
 	require.InDelta(t, 0.25*8/10, far.Occupancy, 0.01, "the further over its share the less, whoever asks most")
 }
--- a/pkg/gateway/placed_test.go
+++ b/pkg/gateway/placed_test.go
@@ -59,17 +59,17 @@
 	w.engines()
 	w.upstreams(pausing(300 * time.Millisecond))
 	life := upstream.Life{ID: "i0"}
-	long := w.gateway.paces.Begin("app", life, 600*time.Millisecond, time.Now())
+	long := w.gateway.paces.BeginPrefill("app", life, 600*time.Millisecond, time.Now())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		w.get("/stream/x", "X-Tokens", "100")
 	}()
-	require.Eventually(t, func() bool { return w.gateway.ledger.Of(life).Fragile == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return w.gateway.ledger.Load(life).PauseWeight == 1 }, time.Second, time.Millisecond)
 	<-done
-	long.Read(time.Now())
+	long.FirstEvent(time.Now())
 	long.End()
 	seen := w.gateway.paces.OwnPauses()["app"]
 	require.Equal(t, 1.0, seen.Count[6])
-	require.Zero(t, w.gateway.ledger.Of(life))
+	require.Zero(t, w.gateway.ledger.Load(life))
 }
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -29,7 +29,7 @@
 	memory *[]byte
 	// content stands for what would run.
 	content uint64
-	chain   []placement.Link
+	chain   []placement.Prefix
 	tried   map[upstream.ID]bool
 	// cutter holds the stream's events over all attempts; begun is set once the caller
 	// has the head of its answer.
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -42,7 +42,7 @@
 		if now.Sub(r.start) > lookAgain && callerLeft(r.in.Context()) {
 			g.hangUp(r)
 		}
-		if attempt > 1 && !last.unsent && !g.budget.Repeat(r.service.Name, g.peers.Count(), now) {
+		if attempt > 1 && !last.unsent && !g.budget.AllowRetry(r.service.Name, g.peers.Count(), now) {
 			g.giveUp(r, last, nil)
 			return
 		}
@@ -143,8 +143,8 @@
 	r.tried[in.ID] = true
 	r.trail.steps = append(r.trail.steps, step{
 		Instance: in.ID, AtMs: now.Sub(r.start).Milliseconds(), WaitMs: choice.Wait.Milliseconds(),
-		Running: choice.Candidate.Load.Running, Unread: choice.Unread, Kept: choice.Candidate.Kept, Fetched: choice.Fetched, Risk: math.Round(choice.Risk*100) / 100,
-		Shared: sharedTokens(r), UnseenMs: choice.Unseen.Given.Milliseconds(), started: now,
+		Running: choice.Candidate.Load.Running, Unread: choice.UncachedTokens, Kept: choice.Candidate.Cached, Fetched: choice.FetchedTokens, Risk: math.Round(choice.Risk*100) / 100,
+		Shared: sharedTokens(r), UnseenMs: choice.Unseen.Assigned.Milliseconds(), started: now,
 	})
 	st := &r.trail.steps[len(r.trail.steps)-1]
 	st.basis(g.catalog.Basis(in.ID, now))
@@ -152,8 +152,8 @@
 	defer entry.End()
 	reading := g.beginReading(r, choice, now)
 	defer reading.End()
-	g.inflows.Give(r.service.Name, choice.Added, now)
-	g.holdings.Use(in.Life(), r.chain, now)
+	g.inflows.Assign(r.service.Name, choice.AddedCost, now)
+	g.holdings.RecordUse(in.Life(), r.chain, now)
 	g.give(r, now)
 	p := &placed{choice: choice, entry: entry, reading: reading, sent: now}
 	defer g.takeBack(r, p)
@@ -191,8 +191,8 @@
 			errand.After, errand.Resumes = last, true
 		}
 	}
-	if choice.Holder != nil {
-		errand.FetchFrom = choice.Holder.Addr
+	if choice.FetchFrom != nil {
+		errand.FetchFrom = choice.FetchFrom.Addr
 	}
 	return &forward.Call{
 		Instance: in, Method: r.in.Method, URI: r.in.RequestURI, Host: r.in.Host,
--- a/pkg/gateway/trail.go
+++ b/pkg/gateway/trail.go
@@ -74,10 +74,10 @@
 	Part float64 `json:"part,omitempty"`
 }
 
-func (d *decided) limits(req placement.Request, v placement.Verdict) {
-	d.SoonestMs, d.QueueMs = v.Soonest.Milliseconds(), v.Queue.Milliseconds()
+func (d *decided) limits(req placement.Request, v placement.Decision) {
+	d.SoonestMs, d.QueueMs = v.ShortestWait.Milliseconds(), v.ShortestQueue.Milliseconds()
 	d.LimitMs, d.QueueLimitMs = req.Limits.Wait.Milliseconds(), req.Limits.Queue.Milliseconds()
-	d.Part = math.Round(v.Part*100) / 100
+	d.Part = math.Round(v.AdmittedFraction*100) / 100
 	d.Occupancy = math.Round(req.Limits.Occupancy*100) / 100
 }
 
@@ -111,8 +111,8 @@
 	if r.org != "" {
 		f["organisation"] = r.org
 	}
-	if r.standing.Share > 0 {
-		f["standing"] = math.Round(r.standing.Share*100) / 100
+	if r.standing.ShareRatio > 0 {
+		f["standing"] = math.Round(r.standing.ShareRatio*100) / 100
 	}
 	if r.standing.Ahead > 1 {
 		f["ahead"] = math.Round(r.standing.Ahead*100) / 100
--- a/pkg/gatewayd/inflow_test.go
+++ b/pkg/gatewayd/inflow_test.go
@@ -15,7 +15,7 @@
 // Believed, it would leave no part of the room for anybody, and all such work would be refused
 // while engines are idle.
 func TestInflowsThatCannotBeAreLeftOut(t *testing.T) {
-	require.Equal(t, map[string]placement.Inflow{"llm": {Rate: 2 * time.Second, Unseen: time.Second, Spare: 3}},
+	require.Equal(t, map[string]placement.Inflow{"llm": {Rate: 2 * time.Second, Unseen: time.Second, OverShare: 3}},
 		inflows(map[string]fleet.Inflow{"llm": {Rate: 2, Unseen: 1, Spare: 3}}))
 	for _, f := range []fleet.Inflow{
 		{Rate: math.Inf(1)}, {Rate: math.NaN()}, {Rate: -1}, {Rate: 1, Unseen: math.NaN()}, {Rate: 1, Unseen: math.Inf(-1)},
@@ -23,5 +23,5 @@
 	} {
 		require.Empty(t, inflows(map[string]fleet.Inflow{"llm": f}), "%+v", f)
 	}
-	require.Zero(t, inflows(map[string]fleet.Inflow{"llm": {Rate: 1, Spare: -1e-12}})["llm"].Spare, "what is taken out of a sum leaves a little")
+	require.Zero(t, inflows(map[string]fleet.Inflow{"llm": {Rate: 1, Spare: -1e-12}})["llm"].OverShare, "what is taken out of a sum leaves a little")
 }
--- a/pkg/gatewayd/life_test.go
+++ b/pkg/gatewayd/life_test.go
@@ -26,8 +26,8 @@
 func newLifeWorld() *lifeWorld {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	c := catalog.New(quiet)
-	return &lifeWorld{catalog: c, health: upstream.NewHealth(), telling: &telling{catalog: c, ledger: placement.NewLedger(), inflows: placement.NewInflows(), paces: pace.NewBook(),
-		holdings: placement.NewHoldings(), shares: placement.NewShares()}}
+	return &lifeWorld{catalog: c, health: upstream.NewHealth(), telling: &telling{catalog: c, ledger: placement.NewLoadTracker(), inflows: placement.NewInflows(), paces: pace.NewEstimator(),
+		holdings: placement.NewKVIndex(), shares: placement.NewShares()}}
 }
 
 func (w *lifeWorld) present() *upstream.Instance { return w.catalog.Instances().Get("i") }
@@ -38,7 +38,7 @@
 }
 
 // chain is a prompt's beginning.
-var chain = []placement.Link{{Key: 7, Tokens: 100}}
+var chain = []placement.Prefix{{Key: 7, Tokens: 100}}
 
 // told gives a peer's report of work at a life and of a prompt that it has read.
 func told(in upstream.Instance) (map[fleet.LifeKey]fleet.InstanceLoad, []fleet.PromptRead) {
@@ -100,7 +100,7 @@
 				w.health.Observe(of.Life(), upstream.Silent, now)
 				failed[of.Life()] = true
 			case "use":
-				w.telling.holdings.Use(of.Life(), chain, now)
+				w.telling.holdings.RecordUse(of.Life(), chain, now)
 				reads[of.Life()] = true
 			}
 		}
@@ -112,10 +112,10 @@
 			t.Fatalf("at revision %d the present life is %+v, not %+v", newest, *in, want)
 		}
 		life := in.Life()
-		if kept := w.telling.holdings.Kept(chain, now)[life].Sent > 0; kept != reads[life] {
+		if kept := w.telling.holdings.Lookup(chain, now)[life].Sent > 0; kept != reads[life] {
 			t.Fatalf("keeps the prompt: %v, was told so: %v", kept, reads[life])
 		}
-		if running := w.telling.ledger.Of(life).Running; (running == 3) != (loads == life) {
+		if running := w.telling.ledger.Load(life).Running; (running == 3) != (loads == life) {
 			t.Fatalf("%d running, last told of %v", running, loads)
 		}
 		if _, usable := w.health.Usable(life, now); usable == failed[life] {
@@ -130,13 +130,13 @@
 	w := newLifeWorld()
 	old, next := instanceBorn(5), instanceBorn(3)
 	w.catalog.Replace([]upstream.Instance{old}, 1, time.Now(), "store")
-	work := w.telling.ledger.Begin(w.present().Life(), placement.Work{Unread: 10})
+	work := w.telling.ledger.Begin(w.present().Life(), placement.Work{PrefillTokens: 10})
 	w.catalog.Apply([]upstream.Change{{Instance: next}}, 1, 2, time.Now(), "store")
-	require.Zero(t, w.telling.ledger.Of(w.present().Life()).Running)
+	require.Zero(t, w.telling.ledger.Load(w.present().Life()).Running)
 	later := w.telling.ledger.Begin(w.present().Life(), placement.Work{})
 	work.End()
 	w.health.Observe(old.Life(), upstream.Silent, time.Now())
-	require.Equal(t, 1, w.telling.ledger.Of(next.Life()).Running)
+	require.Equal(t, 1, w.telling.ledger.Load(next.Life()).Running)
 	_, usable := w.health.Usable(next.Life(), time.Now())
 	require.True(t, usable)
 	var r fleet.Report
--- a/pkg/gatewayd/pauses.go
+++ b/pkg/gatewayd/pauses.go
@@ -11,7 +11,7 @@
 // buckets at the end.
 func encodePauses(service string, p pace.Pauses) fleet.Pauses {
 	told := fleet.Pauses{Service: service}
-	for i := range pace.Buckets {
+	for i := range pace.PauseBuckets {
 		if p.Count[i] <= 0 {
 			continue
 		}
@@ -26,7 +26,7 @@
 // decodePauses reads them; buckets beyond those that are known are left out.
 func decodePauses(told fleet.Pauses) pace.Pauses {
 	var p pace.Pauses
-	for i := range min(pace.Buckets, len(told.Ms), len(told.Count)) {
+	for i := range min(pace.PauseBuckets, len(told.Ms), len(told.Count)) {
 		p.Ms[i], p.Count[i] = float64(told.Ms[i]), float64(told.Count[i])
 	}
 	return p
--- a/pkg/gatewayd/pauses_test.go
+++ b/pkg/gatewayd/pauses_test.go
@@ -25,7 +25,7 @@
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8}, []byte{1})
 	f.Add([]byte{}, []byte{255, 255, 255, 255, 255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, sums, counts []byte) {
-		book := pace.NewBook()
+		book := pace.NewEstimator()
 		book.SetOthersPauses(map[string]pace.Pauses{"llm": decodePauses(fleet.Pauses{Ms: numbers(sums), Count: numbers(counts)})})
 		curve := book.Curve("llm")
 		for reading := time.Duration(0); reading < 3*time.Second; reading += 90 * time.Millisecond {
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -63,7 +63,7 @@
 	watcher   *catalog.Watcher
 	pools     *forward.Pools
 	health    *upstream.Health
-	holdings  *placement.Holdings
+	holdings  *placement.KVIndex
 	gateway   *gateway.Gateway
 	warmup    *warmup.Gate
 	telling   *telling
@@ -102,9 +102,9 @@
 		debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMiB<<20) * memoryShare))
 	}
 	suspects := quarantine.New(quarantine.Config{Limit: gateway.CrashLimit, FadeAfter: gateway.SuspectFor})
-	ledger, shares, inflows, paces := placement.NewLedger(), placement.NewShares(), placement.NewInflows(), pace.NewBook()
+	ledger, shares, inflows, paces := placement.NewLoadTracker(), placement.NewShares(), placement.NewInflows(), pace.NewEstimator()
 	p := &Process{log: l, readdress: d.Readdress, metrics: telemetry.NewMetrics(), catalog: catalog.New(l), pools: forward.NewPools(d.Dialect.IDHeader()),
-		health: upstream.NewHealth(), holdings: placement.NewHoldings()}
+		health: upstream.NewHealth(), holdings: placement.NewKVIndex()}
 	p.settings.Store(&s)
 	p.telling = &telling{catalog: p.catalog, ledger: ledger, holdings: p.holdings, shares: shares, inflows: inflows, paces: paces, suspects: suspects, demand: new(demand),
 		ready: func() bool { return p.gateway.Ready() }, pressed: p.pressure.pressed, log: l, behind: make(chan newer, 1)}
--- a/pkg/gatewayd/status.go
+++ b/pkg/gatewayd/status.go
@@ -30,11 +30,11 @@
 	}
 	for _, in := range set.List() {
 		handicap, usable := p.health.Usable(in.Life(), now)
-		load := p.telling.ledger.Of(in.Life())
+		load := p.telling.ledger.Load(in.Life())
 		one.Upstreams = append(one.Upstreams, status.Upstream{Born: in.Born, Fault: p.faults.of(&in), Held: p.catalog.Basis(in.ID, now).Held,
 			ID: string(in.ID), Service: in.Service, Addr: in.Addr, Zone: in.Zone,
-			State: string(in.State), Usable: usable, HandicapMs: handicap.Milliseconds(), Running: load.Running, Slots: in.Slots, Unread: load.Unread,
-			Slowness: p.telling.paces.Slowness(in.Life(), now), Fragile: load.Fragile, Long: load.Long})
+			State: string(in.State), Usable: usable, HandicapMs: handicap.Milliseconds(), Running: load.Running, Slots: in.Slots, Unread: load.PrefillTokens,
+			Slowness: p.telling.paces.Slowness(in.Life(), now), Fragile: load.PauseWeight, Long: load.LongPrompts})
 	}
 	sort.Slice(one.Upstreams, func(i, j int) bool { return one.Upstreams[i].ID < one.Upstreams[j].ID })
 	sort.Slice(one.Routers, func(i, j int) bool { return one.Routers[i].Name < one.Routers[j].Name })
@@ -48,7 +48,7 @@
 	}
 	list := make([]status.Organisation, 0)
 	for org, use := range p.telling.shares.All(now) {
-		list = append(list, status.Organisation{Name: org, Asked: use.Asked, Got: use.Got, Standing: p.telling.shares.Standing(org, capacity, now).Share})
+		list = append(list, status.Organisation{Name: org, Asked: use.Asked, Got: use.Got, Standing: p.telling.shares.Standing(org, capacity, now).ShareRatio})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
--- a/pkg/gatewayd/telling.go
+++ b/pkg/gatewayd/telling.go
@@ -18,11 +18,11 @@
 // telling joins the fleet's reports to the parts that decide.
 type telling struct {
 	catalog  *catalog.Catalog
-	ledger   *placement.Ledger
-	holdings *placement.Holdings
+	ledger   *placement.LoadTracker
+	holdings *placement.KVIndex
 	shares   *placement.Shares
 	inflows  *placement.Inflows
-	paces    *pace.Book
+	paces    *pace.Estimator
 	suspects *quarantine.List
 	// demand is nil where connections aren't counted.
 	demand  *demand
@@ -59,7 +59,7 @@
 		r.Pauses = append(r.Pauses, encodePauses(service, p))
 	}
 	for service, f := range t.inflows.Own(time.Now()) {
-		r.Inflows = append(r.Inflows, fleet.Inflow{Service: service, Rate: f.Rate.Seconds(), Spare: f.Spare})
+		r.Inflows = append(r.Inflows, fleet.Inflow{Service: service, Rate: f.Rate.Seconds(), Spare: f.OverShare})
 	}
 	stretch := t.demand.stretch(time.Now())
 	for org, u := range t.shares.Own(time.Now()) {
@@ -82,14 +82,14 @@
 	return list
 }
 
-func instanceLoad(life upstream.Life, l placement.Load, s pace.Sum) fleet.InstanceLoad {
-	return fleet.InstanceLoad{Instance: string(life.ID), Life: life.Start, Running: l.Running, Unread: l.Unread, Memory: l.Memory,
-		Fragile: l.Fragile, Long: l.Long, ExpectedMs: int(math.Round(s.Expected)), SeenMs: int(math.Round(s.Seen))}
+func instanceLoad(life upstream.Life, l placement.Load, s pace.Times) fleet.InstanceLoad {
+	return fleet.InstanceLoad{Instance: string(life.ID), Life: life.Start, Running: l.Running, Unread: l.PrefillTokens, Memory: l.KVTokens,
+		Fragile: l.PauseWeight, Long: l.LongPrompts, ExpectedMs: int(math.Round(s.Base)), SeenMs: int(math.Round(s.Actual))}
 }
 
 // Reads gives prompts newly read since the last call.
 func (t *telling) Reads() []fleet.PromptRead {
-	untold := t.holdings.Untold()
+	untold := t.holdings.TakeUnreported()
 	list := make([]fleet.PromptRead, 0, len(untold))
 	for _, h := range untold {
 		list = append(list, fleet.PromptRead{Key: h.Key, Instance: string(h.Life.ID), Life: h.Life.Start})
@@ -99,11 +99,11 @@
 
 // Learn takes what other routers' engines have read.
 func (t *telling) Learn(list []fleet.PromptRead) {
-	holdings := make([]placement.Holding, 0, len(list))
+	holdings := make([]placement.CachedPrefix, 0, len(list))
 	for _, r := range list {
-		holdings = append(holdings, placement.Holding{Key: r.Key, Life: upstream.Life{ID: upstream.ID(r.Instance), Start: r.Life}})
+		holdings = append(holdings, placement.CachedPrefix{Key: r.Key, Life: upstream.Life{ID: upstream.ID(r.Instance), Start: r.Life}})
 	}
-	t.holdings.Learn(holdings, time.Now())
+	t.holdings.Merge(holdings, time.Now())
 }
 
 // maxSuspects bounds the suspects in one report.
@@ -121,11 +121,11 @@
 // Work takes what all other routers do and have seen.
 func (t *telling) Work(told fleet.Work) {
 	others := make(map[upstream.Life]placement.Load, len(told.Loads))
-	seen := make(map[upstream.Life]pace.Sum, len(told.Loads))
+	seen := make(map[upstream.Life]pace.Times, len(told.Loads))
 	for of, l := range told.Loads {
 		life := upstream.Life{ID: upstream.ID(of.Instance), Start: of.Life}
-		others[life] = placement.Load{Running: l.Running, Unread: l.Unread, Memory: l.Memory, Fragile: l.Fragile, Long: l.Long}
-		seen[life] = pace.Sum{Expected: float64(l.ExpectedMs), Seen: float64(l.SeenMs)}
+		others[life] = placement.Load{Running: l.Running, PrefillTokens: l.Unread, KVTokens: l.Memory, PauseWeight: l.Fragile, LongPrompts: l.Long}
+		seen[life] = pace.Times{Base: float64(l.ExpectedMs), Actual: float64(l.SeenMs)}
 	}
 	t.ledger.SetOthers(others)
 	t.paces.SetOthers(seen)
@@ -147,7 +147,7 @@
 	read := make(map[string]placement.Inflow, len(told))
 	for service, f := range told {
 		if f.Rate > 0 && f.Rate < mostInflow && math.Abs(f.Unseen) < mostInflow && math.Abs(f.Spare) < mostSpare {
-			read[service] = placement.Inflow{Rate: seconds(f.Rate), Unseen: seconds(f.Unseen), Spare: max(0, f.Spare)}
+			read[service] = placement.Inflow{Rate: seconds(f.Rate), Unseen: seconds(f.Unseen), OverShare: max(0, f.Spare)}
 		}
 	}
 	return read
--- a/pkg/gatewayd/uses.go
+++ b/pkg/gatewayd/uses.go
@@ -33,7 +33,7 @@
 	own, all := u.shares.Own(now), u.shares.All(now)
 	for _, org := range mostAsking(own) {
 		standing := u.shares.Standing(org, capacity, now)
-		if standing.Share <= 1 {
+		if standing.ShareRatio <= 1 {
 			continue
 		}
 		here, fleet := own[org], all[org]
@@ -41,7 +41,7 @@
 		u.log.WithFields(log.Fields{"event": "organisation_use", "organisation": org,
 			"asked": int(here.Asked), "got": int(here.Got), "begun": int(here.Begun),
 			"fleet_asked": int(fleet.Asked), "fleet_got": int(fleet.Got),
-			"standing": hundredths(standing.Share), "ahead": hundredths(standing.Ahead), "behind": behind, "behind_got": int(all[behind].Got)}).Info("organisation is over its share")
+			"standing": hundredths(standing.ShareRatio), "ahead": hundredths(standing.Ahead), "behind": behind, "behind_got": int(all[behind].Got)}).Info("organisation is over its share")
 	}
 }
 
--- a/pkg/gatewayd/uses_test.go
+++ b/pkg/gatewayd/uses_test.go
@@ -17,11 +17,11 @@
 	lines := memory.New()
 	shares, now := placement.NewShares(), time.Unix(1000, 0)
 	u := uses{shares: shares, capacity: func() float64 { return 300 }, log: &log.Logger{Handler: lines, Level: log.InfoLevel}}
-	shares.Ask("flood", 1000, now)
-	shares.Get("flood", 800, now)
-	shares.Begin("flood", 600, now)
-	shares.Ask("small", 20, now)
-	shares.Get("small", 20, now)
+	shares.AddAsked("flood", 1000, now)
+	shares.AddGot("flood", 800, now)
+	shares.AddBegun("flood", 600, now)
+	shares.AddAsked("small", 20, now)
+	shares.AddGot("small", 20, now)
 	shares.SetOthers(map[string]placement.Use{"behind": {Asked: 500, Got: 100}, "flood": {Asked: 50, Got: 50}})
 	u.tell(now)
 	require.Len(t, lines.Entries, 1)
@@ -37,7 +37,7 @@
 func TestUseIsNotToldWithoutACapacity(t *testing.T) {
 	lines := memory.New()
 	u := uses{shares: placement.NewShares(), capacity: func() float64 { return 0 }, log: &log.Logger{Handler: lines, Level: log.InfoLevel}}
-	u.shares.Ask("flood", 1000, time.Unix(1000, 0))
+	u.shares.AddAsked("flood", 1000, time.Unix(1000, 0))
 	u.tell(time.Unix(1000, 0))
 	require.Empty(t, lines.Entries)
 }
--- a/pkg/pace/call_times.go
+++ b/pkg/pace/call_times.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Parameters of Calls.
+// Parameters of CallTimes.
 const (
 	// minCallWeight is the weight of the newest call in the mean: about the last fifty calls count.
 	minCallWeight = 0.04
@@ -13,12 +13,13 @@
 	minCalls = 5
 )
 
-// Calls learns how long calls without a prompt take, by service. The zero value is ready to use.
+// CallTimes learns how long calls without a prompt take, by service. The zero value is ready to
+// use.
 //
 // Calls arrive in bursts, and all slots of a service are in use for some milliseconds. If a call
 // were assumed to last ten times as long as it does, most waiting calls would be refused that could
 // be served in time.
-type Calls struct {
+type CallTimes struct {
 	mu        sync.Mutex
 	byService map[string]*callMean
 }
@@ -29,7 +30,7 @@
 	count int
 }
 
-func (c *Calls) service(name string) *callMean {
+func (c *CallTimes) service(name string) *callMean {
 	if c.byService == nil {
 		c.byService = make(map[string]*callMean)
 	}
@@ -44,7 +45,7 @@
 // Observe records the duration of a call at an instance with slots, where waiting other calls were
 // expected to wait for one. Each of them adds the duration of a call divided by the number of
 // slots.
-func (c *Calls) Observe(service string, duration time.Duration, waiting, slots int) {
+func (c *CallTimes) Observe(service string, duration time.Duration, waiting, slots int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.service(service)
@@ -55,7 +56,7 @@
 }
 
 // Mean is the time that a call of a service takes; 0 while it isn't known.
-func (c *Calls) Mean(service string) time.Duration {
+func (c *CallTimes) Mean(service string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.byService[service]
--- a/pkg/pace/call_times_test.go
+++ b/pkg/pace/call_times_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCallTimesExcludeTheWait(t *testing.T) {
-	var c Calls
+	var c CallTimes
 	for i := range 200 {
 		require.Equal(t, i < minCalls, c.Mean("s") == 0)
 		waiting := i % 12
--- a/pkg/pace/curve.go
+++ b/pkg/pace/curve.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// bucketWidth and Buckets divide the prefill times into buckets; the last one holds all longer
-	// times.
-	bucketWidth = 100 * time.Millisecond
-	Buckets     = 16
+	// bucketWidth and PauseBuckets divide the prefill times into buckets; the last one holds all
+	// longer times.
+	bucketWidth  = 100 * time.Millisecond
+	PauseBuckets = 16
 	// priorPauses is the weight of the prior in a bucket, in pauses.
 	priorPauses = 2.0
 	// maxPauses is the number of pauses that a bucket remembers at most.
@@ -23,20 +23,20 @@
 // several routers add up.
 type Pauses struct {
 	// Ms is the sum of the pauses in each bucket in milliseconds, Count their number.
-	Ms    [Buckets]float64
-	Count [Buckets]float64
+	Ms    [PauseBuckets]float64
+	Count [PauseBuckets]float64
 }
 
 func bucketOf(prefill time.Duration) int {
-	return min(Buckets-1, max(0, int(prefill/bucketWidth)))
+	return min(PauseBuckets-1, max(0, int(prefill/bucketWidth)))
 }
 
 // Empty reports whether there are no pauses.
-func (p *Pauses) Empty() bool { return p.Count == [Buckets]float64{} }
+func (p *Pauses) Empty() bool { return p.Count == [PauseBuckets]float64{} }
 
 func (p *Pauses) plus(o *Pauses) Pauses {
 	var sum Pauses
-	for i := range Buckets {
+	for i := range PauseBuckets {
 		sum.Ms[i] = p.Ms[i] + o.Ms[i]
 		sum.Count[i] = p.Count[i] + o.Count[i]
 	}
@@ -46,7 +46,7 @@
 // observe adds the longest pause that was seen beside a prompt.
 //
 // A stream may also pause for a prompt that another router placed there, or for a lost packet. A
-// pause that is longer than the prefill itself is ignored.
+// pause that is much longer than the prefill is ignored.
 func (p *Pauses) observe(prefill, pause time.Duration) {
 	if float64(pause) > maxPauseRatio*float64(prefill) {
 		return
@@ -62,7 +62,7 @@
 
 // valid reports whether all numbers are finite and not negative.
 func (p *Pauses) valid() bool {
-	for i := range Buckets {
+	for i := range PauseBuckets {
 		sum := p.Ms[i] + p.Count[i]
 		if p.Ms[i] < 0 || p.Count[i] < 0 || math.IsNaN(sum) || math.IsInf(sum, 0) {
 			return false
@@ -78,13 +78,13 @@
 // much of it they pause depends on the engine's chunk size and on the tokens in an event, and shows
 // only in measured pauses. A bucket without measurements takes the value of the one below it: the
 // part can only fall with the length of the prompt.
-type Curve [Buckets]float64
+type Curve [PauseBuckets]float64
 
 // curve estimates the Curve from the pauses.
 func (p *Pauses) curve() Curve {
 	var c Curve
 	part := 1.0
-	for i := range Buckets {
+	for i := range PauseBuckets {
 		middle := (float64(i) + 0.5) * ms(bucketWidth)
 		part = min(1, (p.Ms[i]/middle+priorPauses*part)/(p.Count[i]+priorPauses))
 		c[i] = part
--- a/pkg/pace/estimator.go
+++ b/pkg/pace/estimator.go
@@ -11,16 +11,17 @@
 // minPrefill is the prefill time from which on the pauses beside a prompt are measured.
 const minPrefill = 100 * time.Millisecond
 
-// LeastPause is the pause of a stream from which on callers should report it.
-const LeastPause = minPrefill
+// MinPause is the pause of a stream from which on callers should report it.
+const MinPause = minPrefill
 
-// Book estimates the speed of engines and the pauses beside prompts. It is safe for concurrent use.
-type Book struct {
+// Estimator estimates the speed of engines and the pauses beside prompts. It is safe for concurrent
+// use.
+type Estimator struct {
 	mu       sync.Mutex
 	own      map[upstream.Life]*decayingSum
-	others   map[upstream.Life]Sum
+	others   map[upstream.Life]Times
 	services map[string]*serviceEstimate
-	prefills map[upstream.Life][]*Reading
+	prefills map[upstream.Life][]*Prefill
 }
 
 // serviceEstimate holds the estimates that the engines of one service share.
@@ -30,17 +31,17 @@
 	own, others Pauses
 }
 
-// NewBook returns a Book without measurements: it estimates what the settings say.
-func NewBook() *Book {
-	return &Book{own: make(map[upstream.Life]*decayingSum), services: make(map[string]*serviceEstimate),
-		prefills: make(map[upstream.Life][]*Reading)}
+// NewEstimator returns an Estimator without measurements: it estimates what the settings say.
+func NewEstimator() *Estimator {
+	return &Estimator{own: make(map[upstream.Life]*decayingSum), services: make(map[string]*serviceEstimate),
+		prefills: make(map[upstream.Life][]*Prefill)}
 }
 
-func (b *Book) service(name string) *serviceEstimate {
-	s := b.services[name]
+func (e *Estimator) service(name string) *serviceEstimate {
+	s := e.services[name]
 	if s == nil {
 		s = new(serviceEstimate)
-		b.services[name] = s
+		e.services[name] = s
 	}
 	return s
 }
@@ -55,8 +56,8 @@
 	// wait behind other requests.
 	Base  time.Duration
 	Queue time.Duration
-	// Seen is the time from sending the prompt to its first event.
-	Seen time.Duration
+	// Measured is the time from sending the prompt to its first event.
+	Measured time.Duration
 }
 
 const (
@@ -68,55 +69,55 @@
 
 // Observe learns from a prefilled prompt. A prompt whose expected queue was longer than its own
 // prefill is ignored: its time depends more on the queue than on the engine.
-func (b *Book) Observe(s Sample, now time.Time) {
+func (e *Estimator) Observe(s Sample, now time.Time) {
 	if s.Base <= 0 || s.Queue > s.Base {
 		return
 	}
 	base := ms(s.Base)
-	measured := min(maxRatio*base, max(minRatio*base, ms(s.Seen-s.Queue)))
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	slowness := b.sum(s.Life, now).slowness()
-	b.service(s.Service).contextScale.observe(s.Context, measured/(base*slowness))
-	d := b.own[s.Life]
+	measured := min(maxRatio*base, max(minRatio*base, ms(s.Measured-s.Queue)))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	slowness := e.times(s.Life, now).slowness()
+	e.service(s.Service).contextScale.observe(s.Context, measured/(base*slowness))
+	d := e.own[s.Life]
 	if d == nil {
 		d = &decayingSum{updatedAt: now}
-		b.own[s.Life] = d
+		e.own[s.Life] = d
 	}
 	d.decay(now)
-	d.sum = d.sum.plus(Sum{Expected: base, Seen: measured})
+	d.times = d.times.plus(Times{Base: base, Actual: measured})
 }
 
-// sum adds up the measurements of all routers for a life.
-func (b *Book) sum(life upstream.Life, now time.Time) Sum {
-	total := b.others[life]
-	if d := b.own[life]; d != nil {
+// times adds up the measurements of all routers for a life.
+func (e *Estimator) times(life upstream.Life, now time.Time) Times {
+	total := e.others[life]
+	if d := e.own[life]; d != nil {
 		d.decay(now)
-		total = total.plus(d.sum)
+		total = total.plus(d.times)
 	}
 	return total
 }
 
 // Slowness is the estimated prefill time of an engine in its present life, over the usual one.
-func (b *Book) Slowness(life upstream.Life, now time.Time) float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.sum(life, now).slowness()
+func (e *Estimator) Slowness(life upstream.Life, now time.Time) float64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.times(life, now).slowness()
 }
 
 // Scale is the prefill time of a token of a prompt with that context, over that of a short prompt's
 // token.
-func (b *Book) Scale(service string, context int) float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.service(service).contextScale.scale(context)
+func (e *Estimator) Scale(service string, context int) float64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.service(service).contextScale.scale(context)
 }
 
 // Curve returns the present estimate of the pauses beside prompts at the engines of a service.
-func (b *Book) Curve(service string) Curve {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.service(service)
+func (e *Estimator) Curve(service string) Curve {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	s := e.service(service)
 	all := s.own.plus(&s.others)
 	return all.curve()
 }
@@ -125,40 +126,40 @@
 const minReportedMs = 1.0
 
 // Own returns the measurements of this router, by life.
-func (b *Book) Own(now time.Time) map[upstream.Life]Sum {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := make(map[upstream.Life]Sum, len(b.own))
-	for life, d := range b.own {
+func (e *Estimator) Own(now time.Time) map[upstream.Life]Times {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	own := make(map[upstream.Life]Times, len(e.own))
+	for life, d := range e.own {
 		d.decay(now)
-		if d.sum.Expected < minReportedMs {
-			delete(b.own, life)
+		if d.times.Base < minReportedMs {
+			delete(e.own, life)
 			continue
 		}
-		own[life] = d.sum
+		own[life] = d.times
 	}
 	return own
 }
 
-// SetOthers replaces the measurements of the other routers. Invalid sums are dropped.
-func (b *Book) SetOthers(others map[upstream.Life]Sum) {
-	valid := make(map[upstream.Life]Sum, len(others))
+// SetOthers replaces the measurements of the other routers. Invalid ones are dropped.
+func (e *Estimator) SetOthers(others map[upstream.Life]Times) {
+	valid := make(map[upstream.Life]Times, len(others))
 	for life, s := range others {
-		if s.Expected > 0 && s.Seen > 0 && !math.IsInf(s.Expected+s.Seen, 0) {
+		if s.Base > 0 && s.Actual > 0 && !math.IsInf(s.Base+s.Actual, 0) {
 			valid[life] = s
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.others = valid
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.others = valid
 }
 
 // OwnPauses returns the pauses measured by this router, by service.
-func (b *Book) OwnPauses() map[string]Pauses {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	own := make(map[string]Pauses, len(b.services))
-	for name, s := range b.services {
+func (e *Estimator) OwnPauses() map[string]Pauses {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	own := make(map[string]Pauses, len(e.services))
+	for name, s := range e.services {
 		if !s.own.Empty() {
 			own[name] = s.own
 		}
@@ -167,41 +168,41 @@
 }
 
 // SetOthersPauses replaces the pauses measured by the other routers. Invalid ones are dropped.
-func (b *Book) SetOthersPauses(others map[string]Pauses) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.services {
+func (e *Estimator) SetOthersPauses(others map[string]Pauses) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, s := range e.services {
 		s.others = Pauses{}
 	}
 	for name, p := range others {
 		if p.valid() {
-			b.service(name).others = p
+			e.service(name).others = p
 		}
 	}
 }
 
-// Begin records that a prompt is sent to an engine. It returns nil when its prefill is too short to
-// make streams pause.
-func (b *Book) Begin(service string, life upstream.Life, expected time.Duration, now time.Time) *Reading {
+// BeginPrefill records that a prompt is sent to an engine. It returns nil when its prefill is too
+// short to make streams pause.
+func (e *Estimator) BeginPrefill(service string, life upstream.Life, expected time.Duration, now time.Time) *Prefill {
 	if expected < minPrefill {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := &Reading{book: b, service: service, life: life, expected: expected, sent: now}
-	b.prefills[life] = append(b.prefills[life], r)
-	return r
-}
-
-// Paused records that a stream of an engine paused between two times. The pause is attributed to
-// the longest of this router's prompts that were prefilled there meanwhile.
-func (b *Book) Paused(life upstream.Life, from, to time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var cause *Reading
-	for _, r := range b.prefills[life] {
-		if r.overlaps(from, to) && (cause == nil || r.expected > cause.expected) {
-			cause = r
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	p := &Prefill{estimator: e, service: service, life: life, expected: expected, sent: now}
+	e.prefills[life] = append(e.prefills[life], p)
+	return p
+}
+
+// ObservePause records that a stream of an engine paused between two times. The pause is attributed
+// to the longest of this router's prompts that were prefilled there meanwhile.
+func (e *Estimator) ObservePause(life upstream.Life, from, to time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	var cause *Prefill
+	for _, p := range e.prefills[life] {
+		if p.overlaps(from, to) && (cause == nil || p.expected > cause.expected) {
+			cause = p
 		}
 	}
 	if cause != nil {
--- a/pkg/pace/prefill.go
+++ b/pkg/pace/prefill.go
@@ -6,11 +6,11 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Reading is a prompt that this router sent to an engine, until End.
-type Reading struct {
-	book    *Book
-	service string
-	life    upstream.Life
+// Prefill is a prompt that this router sent to an engine, until End.
+type Prefill struct {
+	estimator *Estimator
+	service   string
+	life      upstream.Life
 	// expected is the expected prefill time.
 	expected time.Duration
 	sent     time.Time
@@ -20,42 +20,42 @@
 	maxPause time.Duration
 }
 
-// Read records that the first event has arrived: the prompt is prefilled.
-func (r *Reading) Read(now time.Time) {
-	if r == nil {
+// FirstEvent records that the first event has arrived: the prompt is prefilled.
+func (p *Prefill) FirstEvent(now time.Time) {
+	if p == nil {
 		return
 	}
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
-	r.firstEvent = now
+	p.estimator.mu.Lock()
+	defer p.estimator.mu.Unlock()
+	p.firstEvent = now
 }
 
 // End removes the prompt and learns from the pauses beside it.
-func (r *Reading) End() {
-	if r == nil {
+func (p *Prefill) End() {
+	if p == nil {
 		return
 	}
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
-	prefills := r.book.prefills[r.life]
+	p.estimator.mu.Lock()
+	defer p.estimator.mu.Unlock()
+	prefills := p.estimator.prefills[p.life]
 	for i, other := range prefills {
-		if other == r {
+		if other == p {
 			prefills[i] = prefills[len(prefills)-1]
 			prefills = prefills[:len(prefills)-1]
 			break
 		}
 	}
 	if len(prefills) == 0 {
-		delete(r.book.prefills, r.life)
+		delete(p.estimator.prefills, p.life)
 	} else {
-		r.book.prefills[r.life] = prefills
+		p.estimator.prefills[p.life] = prefills
 	}
-	if r.maxPause > 0 && !r.firstEvent.IsZero() {
-		r.book.service(r.service).own.observe(r.expected, r.maxPause)
+	if p.maxPause > 0 && !p.firstEvent.IsZero() {
+		p.estimator.service(p.service).own.observe(p.expected, p.maxPause)
 	}
 }
 
 // overlaps reports whether the prompt was being prefilled at some time between from and to.
-func (r *Reading) overlaps(from, to time.Time) bool {
-	return r.sent.Before(to) && (r.firstEvent.IsZero() || r.firstEvent.After(from))
+func (p *Prefill) overlaps(from, to time.Time) bool {
+	return p.sent.Before(to) && (p.firstEvent.IsZero() || p.firstEvent.After(from))
 }
--- a/pkg/pace/times.go
+++ b/pkg/pace/times.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Sum adds up the prefill times of prompts in one life of an engine over the last seconds. Sums of
-// several routers add up.
-type Sum struct {
-	// Expected is the time that they would take on an engine of the usual speed, in ms.
-	Expected float64
-	// Seen is the time that they took, in ms.
-	Seen float64
+// Times adds up the prefill times of prompts in one life of an engine over the last seconds. Sums
+// of several routers add up.
+type Times struct {
+	// Base is the time that they would take on an engine of the usual speed, in ms.
+	Base float64
+	// Actual is the time that they took, in ms.
+	Actual float64
 }
 
-func (s Sum) plus(o Sum) Sum { return Sum{Expected: s.Expected + o.Expected, Seen: s.Seen + o.Seen} }
+func (s Times) plus(o Times) Times { return Times{Base: s.Base + o.Base, Actual: s.Actual + o.Actual} }
 
 const (
 	// decayTime is the time constant with which measurements decay: an engine that slows down is
@@ -31,13 +31,13 @@
 )
 
 // slowness is the prefill time of the engine over the usual one.
-func (s Sum) slowness() float64 {
-	return min(maxSlowness, max(minSlowness, (s.Seen+priorMs)/(s.Expected+priorMs)))
+func (s Times) slowness() float64 {
+	return min(maxSlowness, max(minSlowness, (s.Actual+priorMs)/(s.Base+priorMs)))
 }
 
-// decayingSum is a Sum that decays.
+// decayingSum holds Times that decay.
 type decayingSum struct {
-	sum       Sum
+	times     Times
 	updatedAt time.Time
 }
 
@@ -47,7 +47,7 @@
 		return
 	}
 	f := math.Exp(-elapsed.Seconds() / decayTime.Seconds())
-	d.sum.Expected *= f
-	d.sum.Seen *= f
+	d.times.Base *= f
+	d.times.Actual *= f
 	d.updatedAt = now
 }
--- a/pkg/placement/ahead_test.go
+++ b/pkg/placement/ahead_test.go
@@ -17,7 +17,7 @@
 	use := map[string]Use{"behind": {Asked: 2000, Got: 380}, "large": {Asked: 3000, Got: 900}, "small": {Asked: 20, Got: 20}}
 	s.SetOthers(use)
 	large := s.Standing("large", 600, now)
-	require.InDelta(t, 900/((600.0-20)/2), large.Share, 0.01)
+	require.InDelta(t, 900/((600.0-20)/2), large.ShareRatio, 0.01)
 	require.InDelta(t, 900.0/380, large.Ahead, 0.01)
 	require.Equal(t, 1.0, s.Standing("behind", 600, now).Ahead)
 	require.Zero(t, s.Standing("small", 600, now).Ahead, "it is within its share")
--- a/pkg/placement/candidate.go
+++ b/pkg/placement/candidate.go
@@ -10,13 +10,15 @@
 type Candidate struct {
 	Instance *upstream.Instance
 	Load     Load
-	// Kept is the number of the prompt's tokens that are expected to be in the instance's KV cache.
-	Kept int
-	// Settled is the number of them that are known to be prefilled, so that other engines can fetch
-	// them.
-	Settled int
-	// LongShare is the part of the last seconds in which the instance had a long prompt to prefill.
-	LongShare float64
+	// Cached is the number of the prompt's tokens that are expected to be in the instance's KV
+	// cache.
+	Cached int
+	// Confirmed is the number of them that are known to be prefilled, so that other engines can
+	// fetch them.
+	Confirmed int
+	// LongPromptShare is the part of the last seconds in which the instance had a long prompt to
+	// prefill.
+	LongPromptShare float64
 	// Slowness is the instance's prefill time over the usual one; 0 counts as 1.
 	Slowness float64
 	// Handicap is added to the cost of an instance that fails or is slow.
--- a/pkg/placement/choose.go
+++ b/pkg/placement/choose.go
@@ -32,24 +32,24 @@
 
 // Request is the input of Choose.
 type Request struct {
-	Work    Work
-	Chain   []Link
-	Service *routing.Service
-	Zone    string
-	Limits  Limits
+	Work     Work
+	Prefixes []Prefix
+	Service  *routing.Service
+	Zone     string
+	Limits   Limits
 	// Scale is the prefill time of a token of this prompt over that of a short prompt's token; 0
 	// counts as 1.
 	Scale float64
 	// MaxPause is the longest pause between two events that the service's streams may make; 0 when
-	// pauses aren't considered. Pauses estimates the pause that a prefill causes.
-	MaxPause time.Duration
-	Pauses   pace.Curve
-	// Fetch is whether cached parts may be fetched from another engine.
-	Fetch bool
-	// Unseen is the traffic at other routers since the candidates' loads were counted. Draw is a
+	// pauses aren't considered. PauseCurve estimates the pause that a prefill causes.
+	MaxPause   time.Duration
+	PauseCurve pace.Curve
+	// AllowFetch is whether cached parts may be fetched from another engine.
+	AllowFetch bool
+	// Unseen is the traffic at other routers since the candidates' loads were counted. Random is a
 	// random number in [0, 1) that spreads the choices of many routers.
 	Unseen Unseen
-	Draw   float64
+	Random float64
 }
 
 // Choice is an instance and the estimates for the request there.
@@ -57,15 +57,15 @@
 	Candidate Candidate
 	// Wait is the expected time to the first event.
 	Wait time.Duration
-	// Unread is the number of prompt tokens that aren't in the instance's cache, Reading the same
-	// in tokens of a short prompt.
-	Unread  int
-	Reading int
+	// UncachedTokens is the number of prompt tokens that aren't in the instance's cache,
+	// PrefillTokens the same in tokens of a short prompt.
+	UncachedTokens int
+	PrefillTokens  int
 	// Base is the time to the first event without a queue on an engine of the usual speed.
 	Base time.Duration
-	// Holder is the engine from which Fetched tokens are fetched; nil for none.
-	Holder  *upstream.Instance
-	Fetched int
+	// FetchFrom is the engine from which FetchedTokens are fetched; nil for none.
+	FetchFrom     *upstream.Instance
+	FetchedTokens int
 	// Risk is the part of the streams beside the request that are expected to pause for too long
 	// during its prefill.
 	Risk float64
@@ -73,10 +73,10 @@
 	Harm float64
 	// Queue is the part of the wait that other requests cause.
 	Queue time.Duration
-	// Cost is the value by which choices are compared. Added is the amount by which the choice
+	// Cost is the value by which choices are compared. AddedCost is the amount by which the choice
 	// raises the cost of its instance for later requests.
-	Cost  time.Duration
-	Added time.Duration
+	Cost      time.Duration
+	AddedCost time.Duration
 	// Unseen is that of the request.
 	Unseen Unseen
 
@@ -85,36 +85,37 @@
 	recompute time.Duration
 }
 
-// Verdict is the result of Choose.
-type Verdict struct {
+// Decision is the result of Choose.
+type Decision struct {
 	Choice Choice
 	// OK is false when the request is refused.
 	OK bool
-	// Soonest is the shortest expected wait of all candidates, Queue their shortest queue.
-	Soonest time.Duration
-	Queue   time.Duration
-	// Part is the part of the over-share requests like this one that is admitted; 0 when the
-	// request is within its organisation's share or was refused before.
-	Part float64
+	// ShortestWait is the shortest expected wait of all candidates, ShortestQueue their shortest
+	// queue.
+	ShortestWait  time.Duration
+	ShortestQueue time.Duration
+	// AdmittedFraction is the part of the over-share requests like this one that is admitted; 0
+	// when the request is within its organisation's share or was refused before.
+	AdmittedFraction float64
 }
 
 // Choose returns one of the candidates that are within the request's limits: the cheapest one, or
 // one nearly as cheap when other routers have assigned work meanwhile.
-func Choose(req Request, candidates []Candidate, p Pace) Verdict {
+func Choose(req Request, candidates []Candidate, speed Speed) Decision {
 	var key uint64
-	if len(req.Chain) > 0 {
-		key = req.Chain[len(req.Chain)-1].Key
+	if len(req.Prefixes) > 0 {
+		key = req.Prefixes[len(req.Prefixes)-1].Key
 	}
 	holders := findHolders(candidates)
-	v := Verdict{Soonest: time.Hour, Queue: time.Hour}
+	d := Decision{ShortestWait: time.Hour, ShortestQueue: time.Hour}
 	s := scratchPool.Get().(*scratch)
 	defer scratchPool.Put(s)
 	s.reset()
 	for _, c := range candidates {
-		choice := evaluate(req, c, holders, p)
-		v.Soonest = min(v.Soonest, choice.Wait)
-		v.Queue = min(v.Queue, choice.Queue)
-		if len(req.Chain) > 0 {
+		choice := evaluate(req, c, holders, speed)
+		d.ShortestWait = min(d.ShortestWait, choice.Wait)
+		d.ShortestQueue = min(d.ShortestQueue, choice.Queue)
+		if len(req.Prefixes) > 0 {
 			rank := float64(score(key, c.Instance.ID)) / float64(1<<64)
 			choice.Cost += time.Duration(float64(tieBreakCost) * (1 - rank))
 		}
@@ -124,26 +125,26 @@
 			s.fitting = append(s.fitting, choice)
 		}
 	}
-	if len(s.fitting) == 0 || v.Queue > req.Limits.Queue {
-		return v
+	if len(s.fitting) == 0 || d.ShortestQueue > req.Limits.Queue {
+		return d
 	}
-	random, unseen := req.Draw, req.Unseen.Given
-	if req.Limits.Spare {
-		v.Part, unseen = req.overShareRoom(s, p)
-		v.Part *= 1 - req.Limits.HeldBack
-		if random >= v.Part {
-			return v
+	random, unseen := req.Random, req.Unseen.Assigned
+	if req.Limits.OverShare {
+		d.AdmittedFraction, unseen = req.overShareRoom(s, speed)
+		d.AdmittedFraction *= 1 - req.Limits.ShedFraction
+		if random >= d.AdmittedFraction {
+			return d
 		}
-		random /= v.Part
+		random /= d.AdmittedFraction
 	}
 	level := fillLevel(s.costs, unseen)
-	if excess := req.queueExcess(s.fitting[0].Candidate, s.work, unseen, p); excess > 0 {
-		v.Queue = req.Limits.Queue + excess
-		return v
+	if excess := req.queueExcess(s.fitting[0].Candidate, s.work, unseen, speed); excess > 0 {
+		d.ShortestQueue = req.Limits.Queue + excess
+		return d
 	}
-	v.Choice, v.OK = s.fitting[pick(s.fitting, level, random)], true
-	v.Choice.Added, v.Choice.Unseen = addedCost(req, v.Choice, p), req.Unseen
-	return v
+	d.Choice, d.OK = s.fitting[pick(s.fitting, level, random)], true
+	d.Choice.AddedCost, d.Choice.Unseen = addedCost(req, d.Choice, speed), req.Unseen
+	return d
 }
 
 // scratch holds the slices of one decision for reuse.
@@ -160,13 +161,13 @@
 func (s *scratch) reset() { s.costs, s.work, s.fitting = s.costs[:0], s.work[:0], s.fitting[:0] }
 
 // addedCost is the amount by which a choice raises the cost of its instance for later requests.
-func addedCost(req Request, c Choice, p Pace) time.Duration {
+func addedCost(req Request, c Choice, speed Speed) time.Duration {
 	if !req.isCall() {
-		return p.prefillTime(c.Reading) + batchCost(Load{Running: 1}, req.Service.Engine.Slots)
+		return speed.prefillTime(c.PrefillTokens) + batchCost(Load{Running: 1}, req.Service.Engine.Slots)
 	}
 	slots := c.Candidate.Instance.Slots
 	next := Load{Running: c.Candidate.Load.Running + 1}
-	return callWait(next, slots, p) - c.Queue + batchCost(Load{Running: 1}, slots)
+	return callWait(next, slots, speed) - c.Queue + batchCost(Load{Running: 1}, slots)
 }
 
 // overOccupied reports whether the request would take more of an engine's slots than its limit.
@@ -181,15 +182,15 @@
 func (r *Request) isCall() bool { return r.Service.Engine == nil || r.Work.Prompt == nil }
 
 // evaluate estimates the wait and the cost of a request at a candidate.
-func evaluate(req Request, c Candidate, holders holders, p Pace) Choice {
+func evaluate(req Request, c Candidate, holders holders, speed Speed) Choice {
 	if req.isCall() {
-		return evaluateCall(req, c, p)
+		return evaluateCall(req, c, speed)
 	}
-	choice := Choice{Candidate: c, Queue: engineQueue(req, c, p)}
-	transfer, recomputeCost := choice.planPrefill(req, holders, p)
-	prefill := c.slowed(p.prefillTime(choice.Reading))
-	choice.Base = transfer + p.First + p.prefillTime(choice.Reading)
-	choice.Wait = choice.Queue + transfer + p.First + prefill
+	choice := Choice{Candidate: c, Queue: engineQueue(req, c, speed)}
+	transfer, recomputeCost := choice.planPrefill(req, holders, speed)
+	prefill := c.slowed(speed.prefillTime(choice.PrefillTokens))
+	choice.Base = transfer + speed.FirstEvent + speed.prefillTime(choice.PrefillTokens)
+	choice.Wait = choice.Queue + transfer + speed.FirstEvent + prefill
 	choice.Risk = req.risk(prefill)
 	choice.Harm = choice.Risk * weightAtRisk(c.Load)
 	choice.Cost = choice.Wait + c.Handicap + zoneCost(req, c) + batchCost(c.Load, req.Service.Engine.Slots) + recomputeCost
@@ -198,10 +199,10 @@
 }
 
 // engineQueue is how long other requests delay the prefill of the request's prompt.
-func engineQueue(req Request, c Candidate, p Pace) time.Duration {
+func engineQueue(req Request, c Candidate, speed Speed) time.Duration {
 	engine := req.Service.Engine
-	queue := c.slowed(p.prefillTime(c.Load.Unread)) + slotWait(c.Load, engine.Slots, p)
-	if float64(c.Load.Memory+req.Work.Memory()) > usableKVShare*float64(engine.KVCapacity) {
+	queue := c.slowed(speed.prefillTime(c.Load.PrefillTokens)) + slotWait(c.Load, engine.Slots, speed)
+	if float64(c.Load.KVTokens+req.Work.KVTokens()) > usableKVShare*float64(engine.KVCapacity) {
 		queue += kvFullWait
 	}
 	return queue
@@ -209,29 +210,29 @@
 
 // planPrefill sets the tokens that the candidate prefills and those that it fetches. It returns the
 // duration of the transfer, and the cost of recomputing and of a further copy.
-func (choice *Choice) planPrefill(req Request, holders holders, p Pace) (transfer, cost time.Duration) {
+func (choice *Choice) planPrefill(req Request, holders holders, speed Speed) (transfer, cost time.Duration) {
 	c := choice.Candidate
-	cached := c.Kept
-	transfer, holder := holders.bestFetch(req, c, p)
+	cached := c.Cached
+	transfer, holder := holders.bestFetch(req, c, speed)
 	if holder != nil {
-		cached = holder.Settled
-		choice.Holder, choice.Fetched = holder.Instance, cached-c.Kept
+		cached = holder.Confirmed
+		choice.FetchFrom, choice.FetchedTokens = holder.Instance, cached-c.Cached
 	}
-	choice.Unread = max(0, req.Work.Prompt.Input-cached)
-	choice.Reading = scaleTokens(choice.Unread, req.Scale)
-	recompute := p.prefillTime(max(0, holders.maxCached-cached))
+	choice.UncachedTokens = max(0, req.Work.Prompt.Input-cached)
+	choice.PrefillTokens = scaleTokens(choice.UncachedTokens, req.Scale)
+	recompute := speed.prefillTime(max(0, holders.maxCached-cached))
 	choice.recompute = recompute
-	if req.Limits.Stay {
-		choice.recompute = p.prefillTime(max(0, holders.maxCached-c.Kept))
+	if req.Limits.ReserveIgnoresFetch {
+		choice.recompute = speed.prefillTime(max(0, holders.maxCached-c.Cached))
 	}
-	copied := p.prefillTime(max(0, cached-c.Kept))
+	copied := speed.prefillTime(max(0, cached-c.Cached))
 	return transfer, time.Duration(recomputeWeight*float64(recompute) + transferWeight*float64(transfer) + copyWeight*float64(copied))
 }
 
 // fits reports whether a choice is within the request's limits.
 func (r *Request) fits(c Choice) bool {
-	reserve := time.Duration(r.Limits.Reserve * float64(c.recompute))
-	if c.Wait+reserve > r.Limits.Wait || c.Queue > r.Limits.OwnQueue {
+	reserve := time.Duration(r.Limits.RecomputeReserve * float64(c.recompute))
+	if c.Wait+reserve > r.Limits.Wait || c.Queue > r.Limits.ChosenQueue {
 		return false
 	}
 	return !overOccupied(*r, c.Candidate) && !r.tooHarmful(c)
@@ -245,35 +246,35 @@
 	return int(float64(tokens) * scale)
 }
 
-func evaluateCall(req Request, c Candidate, p Pace) Choice {
-	c.Load.Running -= req.callsEnded(c, p)
-	wait := callWait(c.Load, c.Instance.Slots, p)
+func evaluateCall(req Request, c Candidate, speed Speed) Choice {
+	c.Load.Running -= req.callsEnded(c, speed)
+	wait := callWait(c.Load, c.Instance.Slots, speed)
 	cost := wait + c.Handicap + zoneCost(req, c) + batchCost(c.Load, c.Instance.Slots)
 	return Choice{Candidate: c, Wait: wait, Cost: cost, Queue: wait}
 }
 
-// Waiting is the number of requests that would wait for one of an instance's slots, with one more
-// than its load.
-func Waiting(l Load, slots int) int { return max(0, l.Running+1-slots) }
+// QueueLength is the number of requests that would wait for one of an instance's slots, with one
+// more than its load.
+func QueueLength(l Load, slots int) int { return max(0, l.Running+1-slots) }
 
 // callWait is how long a call waits for a slot: for each waiting request the duration of a call
 // divided by the number of slots. Until that duration is known, a slot's turn takes its place.
-func callWait(l Load, slots int, p Pace) time.Duration {
-	return time.Duration(Waiting(l, slots)) * cmp.Or(p.Call, p.Slot) / time.Duration(max(1, slots))
+func callWait(l Load, slots int, speed Speed) time.Duration {
+	return time.Duration(QueueLength(l, slots)) * cmp.Or(speed.CallTime, speed.SlotTurn) / time.Duration(max(1, slots))
 }
 
 // callsEnded estimates the calls that have ended at an instance since its load was counted.
-func (r *Request) callsEnded(c Candidate, p Pace) int {
-	if p.Call <= 0 {
+func (r *Request) callsEnded(c Candidate, speed Speed) int {
+	if speed.CallTime <= 0 {
 		return 0
 	}
 	busy := min(c.Load.Running, c.Instance.Slots)
-	return min(c.Load.Running, int(float64(busy)*float64(r.Unseen.Age)/float64(p.Call)))
+	return min(c.Load.Running, int(float64(busy)*float64(r.Unseen.Age)/float64(speed.CallTime)))
 }
 
 // slotWait is how long a request waits for one of an instance's slots.
-func slotWait(l Load, slots int, p Pace) time.Duration {
-	return time.Duration(Waiting(l, slots)) * p.Slot
+func slotWait(l Load, slots int, speed Speed) time.Duration {
+	return time.Duration(QueueLength(l, slots)) * speed.SlotTurn
 }
 
 // batchCost is the cost of running beside other requests.
--- a/pkg/placement/cost_bench_test.go
+++ b/pkg/placement/cost_bench_test.go
@@ -26,7 +26,7 @@
 	}
 	s.SetOthers(others)
 	now := time.Now()
-	s.Ask("org-0", 1000, now)
+	s.AddAsked("org-0", 1000, now)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
@@ -41,11 +41,11 @@
 	var candidates []Candidate
 	for i := range benchEngines {
 		candidates = append(candidates, Candidate{Instance: &upstream.Instance{ID: upstream.ID(fmt.Sprintf("i-%08x", i)), Slots: benchSlots},
-			Load: Load{Running: benchSlots + i%3, Unread: 20_000}})
+			Load: Load{Running: benchSlots + i%3, PrefillTokens: 20_000}})
 	}
-	req := Request{Work: Work{Prompt: p}, Chain: Chain(p), Service: service, Zone: "zone-a",
-		Limits: Limits{Wait: 640 * time.Millisecond, Queue: 100 * time.Millisecond, OwnQueue: 300 * time.Millisecond, Reserve: 3, Occupancy: 0.25}}
-	usual := Pace{TokensPerMs: 60, First: 45 * time.Millisecond, Slot: 120 * time.Millisecond}
+	req := Request{Work: Work{Prompt: p}, Prefixes: Prefixes(p), Service: service, Zone: "zone-a",
+		Limits: Limits{Wait: 640 * time.Millisecond, Queue: 100 * time.Millisecond, ChosenQueue: 300 * time.Millisecond, RecomputeReserve: 3, Occupancy: 0.25}}
+	usual := Speed{TokensPerMs: 60, FirstEvent: 45 * time.Millisecond, SlotTurn: 120 * time.Millisecond}
 	b.ReportAllocs()
 	for b.Loop() {
 		Choose(req, candidates, usual)
--- a/pkg/placement/holders.go
+++ b/pkg/placement/holders.go
@@ -29,8 +29,8 @@
 func findHolders(candidates []Candidate) holders {
 	var h holders
 	for _, c := range candidates {
-		h.maxCached = max(h.maxCached, c.Kept)
-		if c.Settled >= minFetchTokens {
+		h.maxCached = max(h.maxCached, c.Cached)
+		if c.Confirmed >= minFetchTokens {
 			h.sources = append(h.sources, c)
 		}
 	}
@@ -39,8 +39,8 @@
 
 // bestFetch returns the engine from which c should fetch the tokens that it lacks, and the duration
 // of the transfer; nil when prefilling them is as good.
-func (h holders) bestFetch(req Request, c Candidate, p Pace) (time.Duration, *Candidate) {
-	if !req.Fetch || req.Service.Engine.LinkBitsPerSecond <= 0 {
+func (h holders) bestFetch(req Request, c Candidate, speed Speed) (time.Duration, *Candidate) {
+	if !req.AllowFetch || req.Service.Engine.LinkBitsPerSecond <= 0 {
 		return 0, nil
 	}
 	var best *Candidate
@@ -50,12 +50,12 @@
 			best = holder
 		}
 	}
-	if best == nil || best.Settled-c.Kept < minFetchTokens {
+	if best == nil || best.Confirmed-c.Cached < minFetchTokens {
 		return 0, nil
 	}
-	missing := best.Settled - c.Kept
+	missing := best.Confirmed - c.Cached
 	duration := transferTime(req, missing, best.Instance.Zone != c.Instance.Zone)
-	if float64(duration) > recomputeWeight*float64(c.slowed(p.prefillTime(scaleTokens(missing, req.Scale)))) {
+	if float64(duration) > recomputeWeight*float64(c.slowed(speed.prefillTime(scaleTokens(missing, req.Scale)))) {
 		return 0, nil
 	}
 	return duration, best
@@ -64,8 +64,8 @@
 // betterHolder reports whether a is a better source for c than b: it has cached more, is in c's
 // availability zone, or has fewer running requests.
 func betterHolder(a, b, c Candidate) bool {
-	if a.Settled != b.Settled {
-		return a.Settled > b.Settled
+	if a.Confirmed != b.Confirmed {
+		return a.Confirmed > b.Confirmed
 	}
 	aSameZone, bSameZone := a.Instance.Zone == c.Instance.Zone, b.Instance.Zone == c.Instance.Zone
 	if aSameZone != bSameZone {
--- a/pkg/placement/in_flight.go
+++ b/pkg/placement/in_flight.go
@@ -2,9 +2,9 @@
 
 import "github.com/flamingowind/flamingowind/pkg/upstream"
 
-// Entry is one request in flight that a Ledger counts until End.
-type Entry struct {
-	ledger        *Ledger
+// InFlight is one request in flight that a LoadTracker counts until End.
+type InFlight struct {
+	tracker       *LoadTracker
 	life          upstream.Life
 	prefillTokens int
 	kvTokens      int
@@ -13,49 +13,49 @@
 	ended                    bool
 }
 
-// Read records that the prompt has been prefilled: its first event has arrived.
-func (e *Entry) Read() {
-	e.ledger.mu.Lock()
-	defer e.ledger.mu.Unlock()
-	e.markPrefilled()
+// MarkPrefilled records that the prompt has been prefilled: its first event has arrived.
+func (f *InFlight) MarkPrefilled() {
+	f.tracker.mu.Lock()
+	defer f.tracker.mu.Unlock()
+	f.markPrefilled()
 }
 
-func (e *Entry) markPrefilled() {
-	if load := e.ledger.own[e.life]; load != nil {
-		load.Unread -= e.prefillTokens
-		load.Long -= e.longPrompts
+func (f *InFlight) markPrefilled() {
+	if load := f.tracker.own[f.life]; load != nil {
+		load.PrefillTokens -= f.prefillTokens
+		load.LongPrompts -= f.longPrompts
 	}
-	e.prefillTokens, e.longPrompts = 0, 0
+	f.prefillTokens, f.longPrompts = 0, 0
 }
 
-// Spoil records that the stream is late already: a further pause does it no harm.
-func (e *Entry) Spoil() {
-	e.ledger.mu.Lock()
-	defer e.ledger.mu.Unlock()
-	e.markLate()
+// MarkLate records that the stream is late already: a further pause does it no harm.
+func (f *InFlight) MarkLate() {
+	f.tracker.mu.Lock()
+	defer f.tracker.mu.Unlock()
+	f.markLate()
 }
 
-func (e *Entry) markLate() {
-	if load := e.ledger.own[e.life]; load != nil {
-		load.Fragile -= e.pauseWeight
+func (f *InFlight) markLate() {
+	if load := f.tracker.own[f.life]; load != nil {
+		load.PauseWeight -= f.pauseWeight
 	}
-	e.pauseWeight = 0
+	f.pauseWeight = 0
 }
 
 // End removes the request from the load. Only the first call has an effect.
-func (e *Entry) End() {
-	e.ledger.mu.Lock()
-	defer e.ledger.mu.Unlock()
-	if e.ended {
+func (f *InFlight) End() {
+	f.tracker.mu.Lock()
+	defer f.tracker.mu.Unlock()
+	if f.ended {
 		return
 	}
-	e.ended = true
-	e.markPrefilled()
-	e.markLate()
-	load := e.ledger.own[e.life]
+	f.ended = true
+	f.markPrefilled()
+	f.markLate()
+	load := f.tracker.own[f.life]
 	load.Running--
-	load.Memory -= e.kvTokens
+	load.KVTokens -= f.kvTokens
 	if load.Running == 0 {
-		delete(e.ledger.own, e.life)
+		delete(f.tracker.own, f.life)
 	}
 }
--- a/pkg/placement/inflow.go
+++ b/pkg/placement/inflow.go
@@ -22,9 +22,9 @@
 	Rate time.Duration
 	// Unseen is the work assigned since the known loads were counted.
 	Unseen time.Duration
-	// Spare is the number of requests a second of organisations over their share, which only get
-	// the capacity that others leave.
-	Spare float64
+	// OverShare is the number of requests a second of organisations over their share, which only
+	// get the capacity that others leave.
+	OverShare float64
 }
 
 // Inflows estimates the work that other routers have assigned to the instances of a service and
@@ -58,15 +58,15 @@
 	return &Inflows{own: make(map[string]*decayingSum), overShare: make(map[string]*decayingSum)}
 }
 
-// Give counts work that this router assigns to an instance of a service.
-func (f *Inflows) Give(service string, work time.Duration, now time.Time) {
+// Assign counts work that this router assigns to an instance of a service.
+func (f *Inflows) Assign(service string, work time.Duration, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	addTo(f.own, service, work.Seconds(), now)
 }
 
-// AskSpare counts a request of an organisation over its share that arrived at this router.
-func (f *Inflows) AskSpare(service string, now time.Time) {
+// CountOverShare counts a request of an organisation over its share that arrived at this router.
+func (f *Inflows) CountOverShare(service string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	addTo(f.overShare, service, 1, now)
@@ -94,7 +94,7 @@
 	for service, d := range f.overShare {
 		d.decay(now)
 		inflow := own[service]
-		inflow.Spare = d.sum / inflowWindow
+		inflow.OverShare = d.sum / inflowWindow
 		own[service] = inflow
 	}
 	return own
@@ -109,10 +109,10 @@
 
 // Unseen is the traffic at other routers that their reported loads don't include yet.
 type Unseen struct {
-	// Given is the work that they have assigned to the instances of the service.
-	Given time.Duration
-	// Spare is the number of requests of organisations over their share that arrived there.
-	Spare float64
+	// Assigned is the work that they have assigned to the instances of the service.
+	Assigned time.Duration
+	// OverShare is the number of requests of organisations over their share that arrived there.
+	OverShare float64
 	// Age is the age of the reported loads.
 	Age time.Duration
 }
@@ -128,5 +128,5 @@
 	}
 	age := now.Sub(f.reportedAt).Seconds() + reported.Unseen.Seconds()/reported.Rate.Seconds()
 	age = max(0, min(age, maxUnseenAge.Seconds()))
-	return Unseen{Given: time.Duration(age * float64(reported.Rate)), Spare: age * reported.Spare, Age: time.Duration(age * float64(time.Second))}
+	return Unseen{Assigned: time.Duration(age * float64(reported.Rate)), OverShare: age * reported.OverShare, Age: time.Duration(age * float64(time.Second))}
 }
--- a/pkg/placement/kv_index.go
+++ b/pkg/placement/kv_index.go
@@ -7,7 +7,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Times and sizes of Holdings.
+// Times and sizes of a KVIndex.
 const (
 	// prefixTTL is how long an engine is assumed to keep a prefix in its cache after the last use.
 	// The prefixes in use fit the engines' caches several times over; unused ones are evicted
@@ -19,8 +19,8 @@
 	maxPrefixes = 50_000
 )
 
-// Holding says that an engine has prefilled a prefix in one of its lives.
-type Holding struct {
+// CachedPrefix says that an engine has prefilled a prefix in one of its lives.
+type CachedPrefix struct {
 	Key  uint64
 	Life upstream.Life
 }
@@ -42,71 +42,71 @@
 // ready reports whether other engines can fetch the prefix.
 func (e *entry) ready(now time.Time) bool { return e.confirmed || now.Sub(e.sent) >= confirmDelay }
 
-// Kept is the number of a prompt's tokens in the cache of an engine in one of its lives.
-type Kept struct {
+// CachedTokens is the number of a prompt's tokens in the cache of an engine in one of its lives.
+type CachedTokens struct {
 	// Sent is the number of tokens that were sent there: they are cached, or will be by the time
 	// that a prompt sent now is prefilled.
 	Sent int
-	// Settled is the number of tokens that are prefilled, so that another engine can fetch them.
-	Settled int
+	// Confirmed is the number of tokens that are prefilled, so that another engine can fetch them.
+	Confirmed int
 }
 
-// Holdings is an index of the prompt prefixes that engines have in their caches. Each life of an
+// KVIndex is an index of the prompt prefixes that engines have in their caches. Each life of an
 // engine has its own entries, so that a late report about an earlier life has no effect on the
 // present one.
-type Holdings struct {
+type KVIndex struct {
 	mu         sync.Mutex
 	byKey      map[uint64]map[upstream.Life]*entry
-	unreported []Holding
+	unreported []CachedPrefix
 }
 
-// NewHoldings returns an empty index.
-func NewHoldings() *Holdings { return &Holdings{byKey: make(map[uint64]map[upstream.Life]*entry)} }
+// NewKVIndex returns an empty index.
+func NewKVIndex() *KVIndex { return &KVIndex{byKey: make(map[uint64]map[upstream.Life]*entry)} }
 
-// Use records that an engine is sent all of prefixes.
-func (h *Holdings) Use(life upstream.Life, prefixes []Link, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// RecordUse records that an engine is sent all of prefixes.
+func (x *KVIndex) RecordUse(life upstream.Life, prefixes []Prefix, now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	for _, prefix := range prefixes {
-		e := h.entry(prefix.Key, life, now)
+		e := x.entry(prefix.Key, life, now)
 		e.lastUsed = now
 		if now.Sub(e.lastReported) < reportInterval {
 			continue
 		}
 		e.lastReported = now
-		h.unreported = append(h.unreported, Holding{Key: prefix.Key, Life: life})
+		x.unreported = append(x.unreported, CachedPrefix{Key: prefix.Key, Life: life})
 	}
 }
 
-// Settle records that an engine has prefilled all of prefixes.
-func (h *Holdings) Settle(life upstream.Life, prefixes []Link) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Confirm records that an engine has prefilled all of prefixes.
+func (x *KVIndex) Confirm(life upstream.Life, prefixes []Prefix) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	for _, prefix := range prefixes {
-		if e := h.byKey[prefix.Key][life]; e != nil {
+		if e := x.byKey[prefix.Key][life]; e != nil {
 			e.confirmed = true
 		}
 	}
 }
 
-// Learn adds prefixes that another router reported.
-func (h *Holdings) Learn(list []Holding, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Merge adds prefixes that another router reported.
+func (x *KVIndex) Merge(list []CachedPrefix, now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	for _, reported := range list {
-		e := h.entry(reported.Key, reported.Life, now)
+		e := x.entry(reported.Key, reported.Life, now)
 		e.lastUsed, e.lastReported = now, now
 	}
 }
 
-func (h *Holdings) entry(key uint64, life upstream.Life, now time.Time) *entry {
-	byLife := h.byKey[key]
+func (x *KVIndex) entry(key uint64, life upstream.Life, now time.Time) *entry {
+	byLife := x.byKey[key]
 	if byLife == nil {
-		if len(h.byKey) >= maxPrefixes {
-			clear(h.byKey) // bounds the memory; prefixes in use are added again at their next use
+		if len(x.byKey) >= maxPrefixes {
+			clear(x.byKey) // bounds the memory; prefixes in use are added again at their next use
 		}
 		byLife = make(map[upstream.Life]*entry, 2)
-		h.byKey[key] = byLife
+		x.byKey[key] = byLife
 	}
 	e := byLife[life]
 	if e == nil {
@@ -116,35 +116,35 @@
 	return e
 }
 
-// Untold returns the prefixes recorded since the last call.
-func (h *Holdings) Untold() []Holding {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	list := h.unreported
-	h.unreported = nil
+// TakeUnreported returns the prefixes recorded since the last call.
+func (x *KVIndex) TakeUnreported() []CachedPrefix {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	list := x.unreported
+	x.unreported = nil
 	return list
 }
 
-// Kept returns the cached tokens of a prompt, by the lives of engines that have one of its prefixes
-// cached; nil when none has.
-func (h *Holdings) Kept(prefixes []Link, now time.Time) map[upstream.Life]Kept {
+// Lookup returns the cached tokens of a prompt, by the lives of engines that have one of its
+// prefixes cached; nil when none has.
+func (x *KVIndex) Lookup(prefixes []Prefix, now time.Time) map[upstream.Life]CachedTokens {
 	if len(prefixes) == 0 {
 		return nil
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var cached map[upstream.Life]Kept
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	var cached map[upstream.Life]CachedTokens
 	for _, prefix := range prefixes {
-		for life, e := range h.byKey[prefix.Key] {
+		for life, e := range x.byKey[prefix.Key] {
 			if now.Sub(e.lastUsed) >= prefixTTL {
 				continue
 			}
 			if cached == nil {
-				cached = make(map[upstream.Life]Kept)
+				cached = make(map[upstream.Life]CachedTokens)
 			}
-			tokens := Kept{Sent: prefix.Tokens, Settled: cached[life].Settled}
+			tokens := CachedTokens{Sent: prefix.Tokens, Confirmed: cached[life].Confirmed}
 			if e.ready(now) {
-				tokens.Settled = prefix.Tokens
+				tokens.Confirmed = prefix.Tokens
 			}
 			cached[life] = tokens
 		}
@@ -153,17 +153,17 @@
 }
 
 // Prune removes expired entries.
-func (h *Holdings) Prune(now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for key, byLife := range h.byKey {
+func (x *KVIndex) Prune(now time.Time) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for key, byLife := range x.byKey {
 		for life, e := range byLife {
 			if now.Sub(e.lastUsed) >= prefixTTL {
 				delete(byLife, life)
 			}
 		}
 		if len(byLife) == 0 {
-			delete(h.byKey, key)
+			delete(x.byKey, key)
 		}
 	}
 }
--- a/pkg/placement/load_tracker.go
+++ b/pkg/placement/load_tracker.go
@@ -7,9 +7,9 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Ledger tracks the load of this router's requests in flight and the loads reported by other
+// LoadTracker tracks the load of this router's requests in flight and the loads reported by other
 // routers, by instance life.
-type Ledger struct {
+type LoadTracker struct {
 	mu     sync.Mutex
 	own    map[upstream.Life]*Load
 	others map[upstream.Life]Load
@@ -17,27 +17,27 @@
 	longShares map[upstream.Life]*longPromptShare
 }
 
-// NewLedger returns a Ledger without any load.
-func NewLedger() *Ledger {
-	return &Ledger{own: make(map[upstream.Life]*Load), others: make(map[upstream.Life]Load), longShares: make(map[upstream.Life]*longPromptShare)}
+// NewLoadTracker returns a LoadTracker without any load.
+func NewLoadTracker() *LoadTracker {
+	return &LoadTracker{own: make(map[upstream.Life]*Load), others: make(map[upstream.Life]Load), longShares: make(map[upstream.Life]*longPromptShare)}
 }
 
 // Begin counts a request that is about to be sent to an instance in its present life.
-func (l *Ledger) Begin(life upstream.Life, w Work) *Entry {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	load := l.own[life]
+func (t *LoadTracker) Begin(life upstream.Life, w Work) *InFlight {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	load := t.own[life]
 	if load == nil {
 		load = new(Load)
-		l.own[life] = load
+		t.own[life] = load
 	}
-	e := &Entry{ledger: l, life: life, prefillTokens: w.Unread, kvTokens: w.Memory(), pauseWeight: w.Fragile, longPrompts: boolToInt(w.Long)}
+	f := &InFlight{tracker: t, life: life, prefillTokens: w.PrefillTokens, kvTokens: w.KVTokens(), pauseWeight: w.PauseWeight, longPrompts: boolToInt(w.LongPrompt)}
 	load.Running++
-	load.Fragile += e.pauseWeight
-	load.Long += e.longPrompts
-	load.Unread += e.prefillTokens
-	load.Memory += e.kvTokens
-	return e
+	load.PauseWeight += f.pauseWeight
+	load.LongPrompts += f.longPrompts
+	load.PrefillTokens += f.prefillTokens
+	load.KVTokens += f.kvTokens
+	return f
 }
 
 // boolToInt is 1 for true and 0 for false.
@@ -48,68 +48,68 @@
 	return 0
 }
 
-// Of returns the load of an instance's life over all routers. Requests that were sent to an earlier
-// life don't count, whichever router sent them and however late it reports them.
-func (l *Ledger) Of(life upstream.Life) Load {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	total := l.others[life]
-	if own := l.own[life]; own != nil {
+// Load returns the load of an instance's life over all routers. Requests that were sent to an
+// earlier life don't count, whichever router sent them and however late it reports them.
+func (t *LoadTracker) Load(life upstream.Life) Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	total := t.others[life]
+	if own := t.own[life]; own != nil {
 		total = total.plus(*own)
 	}
 	return total
 }
 
-// Fill sets the loads of candidates to those over all routers, as of one moment.
-func (l *Ledger) Fill(candidates []Candidate, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// FillLoads sets the loads of candidates to those over all routers, as of one moment.
+func (t *LoadTracker) FillLoads(candidates []Candidate, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for i := range candidates {
 		c := &candidates[i]
 		life := c.Instance.Life()
-		c.Load = l.others[life]
-		if own := l.own[life]; own != nil {
+		c.Load = t.others[life]
+		if own := t.own[life]; own != nil {
 			c.Load = c.Load.plus(*own)
 		}
-		c.LongShare = l.updateLongShare(life, c.Load.Long > 0, now)
+		c.LongPromptShare = t.updateLongShare(life, c.Load.LongPrompts > 0, now)
 	}
 }
 
-func (l *Ledger) updateLongShare(life upstream.Life, active bool, now time.Time) float64 {
-	s := l.longShares[life]
+func (t *LoadTracker) updateLongShare(life upstream.Life, active bool, now time.Time) float64 {
+	s := t.longShares[life]
 	if s == nil {
 		s = &longPromptShare{updatedAt: now}
-		l.longShares[life] = s
+		t.longShares[life] = s
 	}
 	s.observe(active, now)
 	return s.share
 }
 
 // Prune removes the state of lives that aren't in set.
-func (l *Ledger) Prune(set *upstream.Set) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for life := range l.longShares {
+func (t *LoadTracker) Prune(set *upstream.Set) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for life := range t.longShares {
 		if !set.Lives(life) {
-			delete(l.longShares, life)
+			delete(t.longShares, life)
 		}
 	}
 }
 
 // Own returns the load of this router's requests, by life.
-func (l *Ledger) Own() map[upstream.Life]Load {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	own := make(map[upstream.Life]Load, len(l.own))
-	for life, load := range l.own {
+func (t *LoadTracker) Own() map[upstream.Life]Load {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	own := make(map[upstream.Life]Load, len(t.own))
+	for life, load := range t.own {
 		own[life] = *load
 	}
 	return own
 }
 
 // SetOthers replaces the load that the other routers reported.
-func (l *Ledger) SetOthers(others map[upstream.Life]Load) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.others = others
+func (t *LoadTracker) SetOthers(others map[upstream.Life]Load) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.others = others
 }
--- a/pkg/placement/over_share_test.go
+++ b/pkg/placement/over_share_test.go
@@ -16,8 +16,8 @@
 		n := 0
 		for i := range 1000 {
 			req := requestFor(documentPrompt())
-			req.Limits.Spare, req.Limits.Occupancy = true, 0.25
-			req.Unseen.Spare, req.Draw = unseen, float64(i)/1000
+			req.Limits.OverShare, req.Limits.Occupancy = true, 0.25
+			req.Unseen.OverShare, req.Random = unseen, float64(i)/1000
 			v := Choose(req, candidates, usualSpeed)
 			if v.OK {
 				require.Equal(t, "idle", string(v.Choice.Candidate.Instance.ID))
--- a/pkg/placement/pauses.go
+++ b/pkg/placement/pauses.go
@@ -34,16 +34,16 @@
 	if r.MaxPause <= 0 {
 		return 0
 	}
-	pause := float64(r.Pauses.At(prefill)) / float64(r.MaxPause)
+	pause := float64(r.PauseCurve.At(prefill)) / float64(r.MaxPause)
 	return min(1, max(0, (pause-minRiskPause)/(maxRiskPause-minRiskPause)))
 }
 
 // weightAtRisk is the weight of the streams that a long prompt would endanger.
 func weightAtRisk(l Load) float64 {
-	if l.Long > 0 {
-		return onTimeShare * float64(l.Fragile)
+	if l.LongPrompts > 0 {
+		return onTimeShare * float64(l.PauseWeight)
 	}
-	return float64(l.Fragile)
+	return float64(l.PauseWeight)
 }
 
 // exposure is the weight of the request's own stream that the engine's next long prompt is expected
@@ -56,19 +56,19 @@
 	if r.MaxPause <= 0 {
 		return 0
 	}
-	return float64(r.Work.Fragile) * min(1, longPromptsPerStream*c.LongShare)
+	return float64(r.Work.PauseWeight) * min(1, longPromptsPerStream*c.LongPromptShare)
 }
 
 // tooHarmful reports whether a choice makes more streams late than the request may. The bound is at
 // least the request's own weight: otherwise the longest prompts of an organisation over its share
 // would never be served.
 func (r *Request) tooHarmful(c Choice) bool {
-	return r.Limits.Harm > 0 && c.Harm > max(r.Limits.Harm, float64(r.Work.Fragile))
+	return r.Limits.Harm > 0 && c.Harm > max(r.Limits.Harm, float64(r.Work.PauseWeight))
 }
 
-// Weight is the weight of a late stream of a size: larger streams weigh more, though less than in
-// proportion.
-func Weight(size float64) int { return 1 + int(size/tokensPerWeight) }
+// StreamWeight is the weight of a late stream of a size: larger streams weigh more, though less
+// than in proportion.
+func StreamWeight(size float64) int { return 1 + int(size/tokensPerWeight) }
 
-// Long reports whether the prompt makes most streams beside it late.
-func (c Choice) Long() bool { return c.Risk >= longPromptRisk }
+// IsLongPrompt reports whether the prompt makes most streams beside it late.
+func (c Choice) IsLongPrompt() bool { return c.Risk >= longPromptRisk }
--- a/pkg/placement/pauses_test.go
+++ b/pkg/placement/pauses_test.go
@@ -14,7 +14,7 @@
 // longPromptRequest is a prompt of 40,000 tokens whose prefill takes 800 ms.
 func longPromptRequest() Request {
 	req := requestFor(&prompt.Prompt{Model: "m", Input: 40_000, MaxOutput: 10, Parts: []prompt.Part{{ID: "own", Tokens: 40_000}}})
-	req.Limits.Wait, req.MaxPause, req.Pauses = 2*time.Second, 500*time.Millisecond, pace.NewBook().Curve("llm")
+	req.Limits.Wait, req.MaxPause, req.PauseCurve = 2*time.Second, 500*time.Millisecond, pace.NewEstimator().Curve("llm")
 	return req
 }
 
@@ -22,8 +22,8 @@
 // all of which pause during the prefill and are late. An engine with a few more tokens to prefill
 // and two answers is the better choice.
 func TestLongPromptsGoWhereFewStreamsRun(t *testing.T) {
-	many := candidate("many", Load{Running: 8, Fragile: 20}, 0)
-	few := candidate("few", Load{Running: 9, Fragile: 2, Unread: 3000}, 0)
+	many := candidate("many", Load{Running: 8, PauseWeight: 20}, 0)
+	few := candidate("few", Load{Running: 9, PauseWeight: 2, PrefillTokens: 3000}, 0)
 	req := longPromptRequest()
 	require.Equal(t, upstream.ID("few"), Choose(req, []Candidate{many, few}, usualSpeed).Choice.Candidate.Instance.ID)
 	require.Equal(t, 1.0, Choose(req, []Candidate{many, few}, usualSpeed).Choice.Risk)
@@ -32,19 +32,19 @@
 }
 
 func TestLongPromptsGoWhereStreamsAreLateAnyway(t *testing.T) {
-	prefilling := candidate("reads", Load{Running: 8, Fragile: 20, Long: 1, Unread: 10_000}, 0)
-	idle := candidate("calm", Load{Running: 8, Fragile: 20}, 0)
+	prefilling := candidate("reads", Load{Running: 8, PauseWeight: 20, LongPrompts: 1, PrefillTokens: 10_000}, 0)
+	idle := candidate("calm", Load{Running: 8, PauseWeight: 20}, 0)
 	require.Equal(t, upstream.ID("reads"), Choose(longPromptRequest(), []Candidate{idle, prefilling}, usualSpeed).Choice.Candidate.Instance.ID)
 }
 
 func TestHarmOfPromptsOverTheShareIsBounded(t *testing.T) {
-	many := candidate("many", Load{Running: 8, Fragile: 20}, 0)
+	many := candidate("many", Load{Running: 8, PauseWeight: 20}, 0)
 	req := longPromptRequest()
 	req.Limits.Harm = 19
 	require.False(t, Choose(req, []Candidate{many}, usualSpeed).OK)
 	req.Limits.Harm = 20
 	require.True(t, Choose(req, []Candidate{many}, usualSpeed).OK)
-	req.Limits.Harm, req.Work.Fragile = 5, 20
+	req.Limits.Harm, req.Work.PauseWeight = 5, 20
 	require.True(t, Choose(req, []Candidate{many}, usualSpeed).OK, "it may harm up to its own weight")
 }
 
@@ -52,34 +52,34 @@
 // after the other: the next long prompt makes them late.
 func TestStreamsAvoidEnginesThatPrefillLongPrompts(t *testing.T) {
 	often := candidate("often", Load{Running: 2}, 0)
-	often.LongShare = 0.5
+	often.LongPromptShare = 0.5
 	idle := candidate("calm", Load{Running: 6}, 0)
 	req := requestFor(documentPrompt())
-	req.MaxPause, req.Work.Fragile = 500*time.Millisecond, 2
+	req.MaxPause, req.Work.PauseWeight = 500*time.Millisecond, 2
 	require.Equal(t, upstream.ID("calm"), Choose(req, []Candidate{often, idle}, usualSpeed).Choice.Candidate.Instance.ID)
-	req.Work.Fragile = 0
+	req.Work.PauseWeight = 0
 	require.Equal(t, upstream.ID("often"), Choose(req, []Candidate{often, idle}, usualSpeed).Choice.Candidate.Instance.ID, "an answer of one event has no pauses")
 }
 
 func TestSlowEnginesCostMore(t *testing.T) {
 	slow := candidate("slow", Load{}, 0)
 	slow.Slowness = 3
-	v := Choose(requestFor(documentPrompt()), []Candidate{slow, candidate("usual", Load{Unread: 5000}, 0)}, usualSpeed)
+	v := Choose(requestFor(documentPrompt()), []Candidate{slow, candidate("usual", Load{PrefillTokens: 5000}, 0)}, usualSpeed)
 	require.Equal(t, upstream.ID("usual"), v.Choice.Candidate.Instance.ID)
 }
 
 func TestLoadTrackerCountsPauseWeightAndLongPrompts(t *testing.T) {
-	l := NewLedger()
-	e := l.Begin(lifeA, Work{Prompt: documentPrompt(), Unread: 100, Fragile: 3, Long: true})
-	require.Equal(t, Load{Running: 1, Unread: 100, Memory: 6300, Fragile: 3, Long: 1}, l.Of(lifeA))
-	e.Read()
-	require.Equal(t, 3, l.Of(lifeA).Fragile, "the stream still runs")
-	require.Zero(t, l.Of(lifeA).Long)
-	e.Spoil()
-	e.Spoil()
-	require.Zero(t, l.Of(lifeA).Fragile)
-	e.End()
-	require.Zero(t, l.Of(lifeA))
+	tracker := NewLoadTracker()
+	request := tracker.Begin(lifeA, Work{Prompt: documentPrompt(), PrefillTokens: 100, PauseWeight: 3, LongPrompt: true})
+	require.Equal(t, Load{Running: 1, PrefillTokens: 100, KVTokens: 6300, PauseWeight: 3, LongPrompts: 1}, tracker.Load(lifeA))
+	request.MarkPrefilled()
+	require.Equal(t, 3, tracker.Load(lifeA).PauseWeight, "the stream still runs")
+	require.Zero(t, tracker.Load(lifeA).LongPrompts)
+	request.MarkLate()
+	request.MarkLate()
+	require.Zero(t, tracker.Load(lifeA).PauseWeight)
+	request.End()
+	require.Zero(t, tracker.Load(lifeA))
 }
 
 func TestLongPromptShareDecays(t *testing.T) {
--- a/pkg/placement/queue_excess.go
+++ b/pkg/placement/queue_excess.go
@@ -9,13 +9,13 @@
 // Reports may be as old as a call is long. Without this check all routers see free slots that they
 // have filled together, and full instances refuse most calls. Handicaps don't count here: an
 // instance that fails now and then costs more but is no fuller.
-func (r *Request) queueExcess(c Candidate, workCosts []time.Duration, unseen time.Duration, p Pace) time.Duration {
-	if p.Call <= 0 {
+func (r *Request) queueExcess(c Candidate, workCosts []time.Duration, unseen time.Duration, speed Speed) time.Duration {
+	if speed.CallTime <= 0 {
 		return 0
 	}
 	level := fillLevel(workCosts, unseen)
 	slots := max(1, c.Instance.Slots)
-	perCall := p.Call / time.Duration(slots)
+	perCall := speed.CallTime / time.Duration(slots)
 	maxQueued := int(r.Limits.Queue / max(1, perCall))
 	allowed := time.Duration(maxQueued)*perCall + batchCost(Load{Running: slots + maxQueued}, slots)
 	return max(0, level-allowed)
--- a/pkg/placement/retry_budget.go
+++ b/pkg/placement/retry_budget.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Budget bounds the retries that a router sends to a service, as a part of the requests for it.
+// RetryBudget bounds the retries that a router sends to a service, as a part of the requests for
+// it.
 //
 // When a service fails, retries add to a load that it can't serve already, and keep it down. Each
 // router has its own part of one budget for the whole fleet: a part of the requests that it
 // received, and an equal part of the fleet's allowance.
-type Budget struct {
+type RetryBudget struct {
 	mu           sync.Mutex
 	ratio        float64
 	allowance    float64
@@ -20,7 +21,7 @@
 
 // Set allows ratio retries for each request, and allowance further ones over all routers, in each
 // window of windowLength.
-func (b *Budget) Set(ratio, allowance float64, windowLength time.Duration) {
+func (b *RetryBudget) Set(ratio, allowance float64, windowLength time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ratio, b.allowance, b.windowLength = ratio, allowance, windowLength
@@ -36,7 +37,7 @@
 	requests, retries [2]float64
 }
 
-func (b *Budget) window(service string, now time.Time) *window {
+func (b *RetryBudget) window(service string, now time.Time) *window {
 	if b.windows == nil {
 		b.windows = make(map[string]*window)
 	}
@@ -56,16 +57,16 @@
 	return w
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// CountRequest counts a caller's request for a service.
+func (b *RetryBudget) CountRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(service, now).requests[0]++
 }
 
-// Repeat reports whether a retry may be sent, and counts it if so. routers is the number of routers
-// that share the allowance.
-func (b *Budget) Repeat(service string, routers int, now time.Time) bool {
+// AllowRetry reports whether a retry may be sent, and counts it if so. routers is the number of
+// routers that share the allowance.
+func (b *RetryBudget) AllowRetry(service string, routers int, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service, now)
--- a/pkg/placement/shared_capacity_test.go
+++ b/pkg/placement/shared_capacity_test.go
@@ -19,9 +19,9 @@
 		"large": {Asked: 700_000, Got: 210_000}, "larger": {Asked: 600_000, Got: 190_000},
 		"middle": {Asked: 150_000, Got: 90_000}, "small": {Asked: 80_000, Got: 13_000},
 	})
-	require.Greater(t, s.Standing("large", capacity, now).Share, 1.2)
-	require.Less(t, s.Standing("middle", capacity, now).Share, 0.8)
-	require.Less(t, s.Standing("small", capacity, now).Share, 0.5)
+	require.Greater(t, s.Standing("large", capacity, now).ShareRatio, 1.2)
+	require.Less(t, s.Standing("middle", capacity, now).ShareRatio, 0.8)
+	require.Less(t, s.Standing("small", capacity, now).ShareRatio, 0.5)
 }
 
 // Guards against shares that shrink with what is got: organisations over their share are held back,
@@ -31,9 +31,9 @@
 	s, now := NewShares(), time.Unix(1000, 0)
 	s.SetOthers(map[string]Use{"large": {Asked: 900_000, Got: 400_000}, "other": {Asked: 300_000, Got: 100_000}})
 	before := s.Standing("large", capacity, now)
-	require.Greater(t, before.Share, 1.2)
+	require.Greater(t, before.ShareRatio, 1.2)
 	s.SetOthers(map[string]Use{"large": {Asked: 900_000, Got: 220_000}, "other": {Asked: 300_000, Got: 200_000}})
-	require.Less(t, s.Standing("large", capacity, now.Add(2*time.Second)).Share, 1.0)
+	require.Less(t, s.Standing("large", capacity, now.Add(2*time.Second)).ShareRatio, 1.0)
 }
 
 // When nearly all that is asked for is got, the rest says nothing about the engines.
@@ -41,5 +41,5 @@
 	const capacity = 1_000_000
 	s, now := NewShares(), time.Unix(1000, 0)
 	s.SetOthers(map[string]Use{"large": {Asked: 300_000, Got: 270_000}, "other": {Asked: 50_000, Got: 45_000}})
-	require.Zero(t, s.Standing("large", capacity, now).Share)
+	require.Zero(t, s.Standing("large", capacity, now).ShareRatio)
 }
--- a/pkg/placement/shares.go
+++ b/pkg/placement/shares.go
@@ -67,26 +67,26 @@
 	return a
 }
 
-// Ask counts a request of size tokens.
-func (s *Shares) Ask(org string, size float64, now time.Time) {
+// AddAsked counts a request of size tokens.
+func (s *Shares) AddAsked(org string, size float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(org, now).asked += size
 }
 
-// Get counts a request that was sent to an engine.
-func (s *Shares) Get(org string, size float64, now time.Time) {
+// AddGot counts a request that was sent to an engine.
+func (s *Shares) AddGot(org string, size float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(org, now).got += size
 }
 
-// Return takes back a request that was sent to an engine at gotAt and never began there.
+// TakeBack takes back a request that was sent to an engine at gotAt and never began there.
 //
 // Some requests that were sent fail, are refused by engines, or are cancelled by their callers
 // first, most of them at a router that lacks processor time. If they counted, an organisation whose
 // callers use that router would seem to get what it never had, and others would keep ahead of it.
-func (s *Shares) Return(org string, size float64, gotAt, now time.Time) {
+func (s *Shares) TakeBack(org string, size float64, gotAt, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(org, now)
@@ -94,8 +94,8 @@
 	a.got = max(0, a.got-remaining)
 }
 
-// Begin counts a request whose first event arrived.
-func (s *Shares) Begin(org string, size float64, now time.Time) {
+// AddBegun counts a request whose first event arrived.
+func (s *Shares) AddBegun(org string, size float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(org, now).begun += size
@@ -126,10 +126,10 @@
 
 // Standing compares an organisation's traffic with its fair share.
 type Standing struct {
-	// Share is what it gets over what it is due: over 1 it is over its share.
-	Share float64
-	// Full is whether the whole declared capacity of the engines is in use.
-	Full bool
+	// ShareRatio is what it gets over what it is due: over 1 it is over its share.
+	ShareRatio float64
+	// AtCapacity is whether the whole declared capacity of the engines is in use.
+	AtCapacity bool
 	// Ahead is what it gets over the least that any organisation asking for as much gets; 0 for an
 	// organisation within its share.
 	Ahead float64
@@ -153,13 +153,13 @@
 			mine = use
 		}
 	})
-	standing := Standing{Full: got >= capacity}
+	standing := Standing{AtCapacity: got >= capacity}
 	due := waterLevel(s.askedBuffer, sharedCapacity(s.recentPeak(got, now), asked, capacity))
 	if due <= 0 {
 		return standing
 	}
-	standing.Share = mine.Got / due
-	if standing.Share > 1 {
+	standing.ShareRatio = mine.Got / due
+	if standing.ShareRatio > 1 {
 		standing.Ahead = s.aheadOfLeast(mine.Got, due, now)
 	}
 	return standing
--- a/pkg/placement/shares_test.go
+++ b/pkg/placement/shares_test.go
@@ -48,15 +48,15 @@
 // be over its share, and whoever asks most would get most.
 func TestStandingIsMeasuredOnWhatEnginesDo(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
-	s.Ask("flood", 10_000, now)
-	s.Get("flood", 900, now)
-	s.Ask("small", 500, now)
-	s.Get("small", 100, now)
+	s.AddAsked("flood", 10_000, now)
+	s.AddGot("flood", 900, now)
+	s.AddAsked("small", 500, now)
+	s.AddGot("small", 100, now)
 	declared := 900.0 // the two get 500 a second
-	require.Greater(t, s.Standing("flood", declared, now).Share, 1.0)
-	require.Less(t, s.Standing("small", declared, now).Share, 1.0)
-	require.False(t, s.Standing("flood", declared, now).Full)
-	require.True(t, s.Standing("flood", 400, now).Full)
+	require.Greater(t, s.Standing("flood", declared, now).ShareRatio, 1.0)
+	require.Less(t, s.Standing("small", declared, now).ShareRatio, 1.0)
+	require.False(t, s.Standing("flood", declared, now).AtCapacity)
+	require.True(t, s.Standing("flood", 400, now).AtCapacity)
 }
 
 // Guards against refusals while engines are idle after all routers start under load: nobody has got
@@ -65,26 +65,26 @@
 func TestStandingAfterAStart(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
 	for _, org := range []string{"a", "b", "c"} {
-		s.Ask(org, 5000, now)
-		s.Get(org, 200, now)
+		s.AddAsked(org, 5000, now)
+		s.AddGot(org, 200, now)
 	}
-	require.Less(t, s.Standing("a", 10_000, now).Share, 1.0)
+	require.Less(t, s.Standing("a", 10_000, now).ShareRatio, 1.0)
 }
 
 func TestStandingCountsAllRouters(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
-	s.Ask("org", 1000, now)
-	s.Get("org", 100, now)
-	s.Ask("other", 1000, now)
-	s.Get("other", 900, now)
-	require.Less(t, s.Standing("org", 600, now).Share, 1.0)
+	s.AddAsked("org", 1000, now)
+	s.AddGot("org", 100, now)
+	s.AddAsked("other", 1000, now)
+	s.AddGot("other", 900, now)
+	require.Less(t, s.Standing("org", 600, now).ShareRatio, 1.0)
 	s.SetOthers(map[string]Use{"org": {Asked: 5000, Got: 4000}})
-	require.Greater(t, s.Standing("org", 600, now).Share, 1.0)
+	require.Greater(t, s.Standing("org", 600, now).ShareRatio, 1.0)
 }
 
 func TestTrafficDecays(t *testing.T) {
 	s, now := NewShares(), time.Unix(100, 0)
-	s.Get("org", 1000, now)
+	s.AddGot("org", 1000, now)
 	later := s.Own(now.Add(10 * time.Second))["org"].Got
 	require.Less(t, later, 10.0)
 }
@@ -103,16 +103,16 @@
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 			sent := sentRequest{rapid.Float64Range(1, 1e5).Draw(t, "size"), now}
-			s.Get("org", sent.size, now)
+			s.AddGot("org", sent.size, now)
 			if rapid.Bool().Draw(t, "begins") {
-				begunOnly.Get("org", sent.size, now)
+				begunOnly.AddGot("org", sent.size, now)
 			} else {
 				notBegun = append(notBegun, sent)
 			}
 		}
 		for _, sent := range notBegun {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "later")) * time.Millisecond)
-			s.Return("org", sent.size, sent.at, now)
+			s.TakeBack("org", sent.size, sent.at, now)
 		}
 		got, want := s.Own(now)["org"].Got, begunOnly.Own(now)["org"].Got
 		if got < 0 || math.Abs(got-want) > 1e-6*(1+want) {
--- a/pkg/placement/work.go
+++ b/pkg/placement/work.go
@@ -6,18 +6,19 @@
 type Work struct {
 	// Prompt is nil for calls of plain services.
 	Prompt *prompt.Prompt
-	// Unread is the expected number of prompt tokens to prefill, in tokens of a short prompt.
-	Unread int
-	// Fragile is the request's weight if it is a stream that a long pause makes late. Long is
-	// whether its prefill makes the streams beside it pause for too long.
-	Fragile int
-	Long    bool
+	// PrefillTokens is the expected number of prompt tokens to prefill, in tokens of a short
+	// prompt.
+	PrefillTokens int
+	// PauseWeight is the request's weight if it is a stream that a long pause makes late.
+	// LongPrompt is whether its prefill makes the streams beside it pause for too long.
+	PauseWeight int
+	LongPrompt  bool
 }
 
-// Memory is the number of KV cache tokens that the request holds when it ends.
-func (w Work) Memory() int {
+// KVTokens is the number of KV cache tokens that the request holds when it ends.
+func (w Work) KVTokens() int {
 	if w.Prompt == nil {
 		return 0
 	}
-	return w.Prompt.Input + w.Prompt.Output()
+	return w.Prompt.Input + w.Prompt.PlannedOutput()
 }
--- a/pkg/prompt/prompt.go
+++ b/pkg/prompt/prompt.go
@@ -20,8 +20,8 @@
 	Parts []Part
 }
 
-// Output is the number of generated tokens to plan with.
-func (p *Prompt) Output() int {
+// PlannedOutput is the number of generated tokens to plan with.
+func (p *Prompt) PlannedOutput() int {
 	if p.ExpectedOutput > 0 && p.ExpectedOutput < p.MaxOutput {
 		return p.ExpectedOutput
 	}
@@ -29,10 +29,10 @@
 }
 
 // Size is the prompt's use of capacity: a prompt token counts once, a generated one twice.
-func (p *Prompt) Size() float64 { return float64(p.Input + 2*p.Output()) }
+func (p *Prompt) Size() float64 { return float64(p.Input + 2*p.PlannedOutput()) }
 
-// Shared returns the parts that other requests may share.
-func (p *Prompt) Shared() []Part {
+// SharedParts returns the parts that other requests may share.
+func (p *Prompt) SharedParts() []Part {
 	if len(p.Parts) == 0 {
 		return nil
 	}
--- a/pkg/sched/sched.go
+++ b/pkg/sched/sched.go
@@ -14,16 +14,17 @@
 	Org   string
 	Class wire.Class
 	Pool  string
-	// Prefix is a hash of the prompt's beginning, Content one of the whole request; 0 when unknown.
-	Prefix  uint64
-	Content uint64
+	// PrefixHash is a hash of the prompt's beginning, ContentHash one of the whole request; 0 when
+	// unknown.
+	PrefixHash  uint64
+	ContentHash uint64
 	// Deadline is the time after which a grant is useless.
 	Deadline time.Time
 	// Exclude names upstreams that this request must not be sent to again.
 	Exclude []string
-	// Since is when the request was accepted. A later attempt keeps it, so that the request keeps
-	// its age. The zero time means now.
-	Since time.Time
+	// AcceptedAt is when the request was accepted. A later attempt keeps it, so that the request
+	// keeps its age. The zero time means now.
+	AcceptedAt time.Time
 }
 
 // Slot is the right to run one request on one upstream. Done must be called once.
--- a/pkg/shedding/idle_test.go
+++ b/pkg/shedding/idle_test.go
@@ -47,20 +47,20 @@
 	for elapsed := time.Duration(0); elapsed < warmUp+measured; elapsed += tick {
 		now = now.Add(tick)
 		for _, small := range []string{"a", "b", "c"} {
-			shares.Ask(small, 40, now)
-			shares.Get(small, 40, now)
+			shares.AddAsked(small, 40, now)
+			shares.AddGot(small, 40, now)
 		}
 		for org, rate := range asked {
 			for left := rate * tick.Seconds(); left > random.Float64(); left-- {
 				// Requests that the small router refuses on arrival count as asked for.
-				shares.Ask(org, size*asked["ahead"]/rate, now)
+				shares.AddAsked(org, size*asked["ahead"]/rate, now)
 				standing := shares.Standing(org, capacity, now)
-				req := placement.Request{Work: work, Service: &routing.Service{Engine: engine}, Draw: random.Float64(),
-					Limits: Prompt(Ask{Objective: 600 * time.Millisecond, Reading: 20 * time.Millisecond, Standing: standing})}
-				if !placement.Choose(req, idleEngines(8), placement.Pace{TokensPerMs: 60, First: 5 * time.Millisecond}).OK {
+				req := placement.Request{Work: work, Service: &routing.Service{Engine: engine}, Random: random.Float64(),
+					Limits: PromptLimits(Request{Objective: 600 * time.Millisecond, Prefill: 20 * time.Millisecond, Standing: standing})}
+				if !placement.Choose(req, idleEngines(8), placement.Speed{TokensPerMs: 60, FirstEvent: 5 * time.Millisecond}).OK {
 					continue
 				}
-				shares.Get(org, size, now)
+				shares.AddGot(org, size, now)
 				if elapsed >= warmUp {
 					got[org] += size
 				}
--- a/pkg/shedding/limits.go
+++ b/pkg/shedding/limits.go
@@ -73,47 +73,47 @@
 	minCallWaitShare = 0.25
 )
 
-// Call returns the limits of a call to a plain service that takes duration once it has a slot; 0
-// while that isn't known.
+// CallLimits returns the limits of a call to a plain service that takes duration once it has a
+// slot; 0 while that isn't known.
 //
 // Under overload more calls arrive than the service can serve. A call that waits for longer than
 // the objective allows is late and makes all behind it late.
-func Call(objective, waited, duration time.Duration) placement.Limits {
+func CallLimits(objective, waited, duration time.Duration) placement.Limits {
 	wait := maxCallWait
 	if duration > 0 && objective > 0 {
 		budget := maxWaitShare * float64(objective)
 		wait = min(wait, time.Duration(max(minCallWaitShare*budget, budget-float64(waited+duration))))
 	}
-	return placement.Limits{Wait: wait, Queue: wait, OwnQueue: wait}
+	return placement.Limits{Wait: wait, Queue: wait, ChosenQueue: wait}
 }
 
-// Prompt returns the limits of a request to a model engine.
-func Prompt(a Ask) placement.Limits {
-	objective := float64(a.Objective)
-	wait := time.Duration(max(maxWaitShare*objective-float64(a.Waited), float64(a.Reading)+minWaitShare*objective))
-	l := placement.Limits{Wait: wait, Queue: wait, OwnQueue: wait, Reserve: reserve}
-	if a.Standing.Share < underShare {
-		l.Reserve = underShareReserve
+// PromptLimits returns the limits of a request to a model engine.
+func PromptLimits(r Request) placement.Limits {
+	objective := float64(r.Objective)
+	wait := time.Duration(max(maxWaitShare*objective-float64(r.Waited), float64(r.Prefill)+minWaitShare*objective))
+	l := placement.Limits{Wait: wait, Queue: wait, ChosenQueue: wait, RecomputeReserve: reserve}
+	if r.Standing.ShareRatio < underShare {
+		l.RecomputeReserve = underShareReserve
 	}
-	if a.Standing.Share > 1 {
-		limitOverShare(&l, a)
+	if r.Standing.ShareRatio > 1 {
+		limitOverShare(&l, r)
 	}
 	return l
 }
 
 // limitOverShare lowers the limits of an organisation over its share.
-func limitOverShare(l *placement.Limits, a Ask) {
-	share := a.Standing.Share
-	scaledShare := share * aheadFactor(a.Standing)
-	l.Spare = true
-	l.Queue = time.Duration(overShareQueueShare * float64(a.Objective) / math.Pow(scaledShare, queueExponent))
-	l.OwnQueue = time.Duration(chosenQueueFactor * float64(l.Queue))
+func limitOverShare(l *placement.Limits, r Request) {
+	share := r.Standing.ShareRatio
+	scaledShare := share * aheadFactor(r.Standing)
+	l.OverShare = true
+	l.Queue = time.Duration(overShareQueueShare * float64(r.Objective) / math.Pow(scaledShare, queueExponent))
+	l.ChosenQueue = time.Duration(chosenQueueFactor * float64(l.Queue))
 	l.Harm = maxHarmAtShare / scaledShare
-	l.HeldBack = shedFraction(a.Standing)
+	l.ShedFraction = shedFraction(r.Standing)
 	if share > farOver {
-		l.Reserve, l.Stay = farOverReserve, true
+		l.RecomputeReserve, l.ReserveIgnoresFetch = farOverReserve, true
 	}
-	if a.Standing.Full {
+	if r.Standing.AtCapacity {
 		l.Occupancy = maxOccupancy(share)
 	}
 }
@@ -130,7 +130,7 @@
 // An organisation with little more than its due is exempt: shares are means over two seconds, and
 // by the next report it may have less.
 func aheadFactor(s placement.Standing) float64 {
-	if s.Share < minShareAhead {
+	if s.ShareRatio < minShareAhead {
 		return 1
 	}
 	return math.Pow(max(1, s.Ahead/tolerableAhead), aheadExponent)
@@ -144,7 +144,7 @@
 // processor time to place its requests. From tolerableAhead on it gets less, and at maxAhead
 // nothing, so it can't stay there.
 func shedFraction(s placement.Standing) float64 {
-	if s.Share < minShareAhead {
+	if s.ShareRatio < minShareAhead {
 		return 0
 	}
 	return min(1, max(0, (s.Ahead-tolerableAhead)/(maxAhead-tolerableAhead)))
--- a/pkg/shedding/retry_after_test.go
+++ b/pkg/shedding/retry_after_test.go
@@ -17,7 +17,7 @@
 	const queue, limit = 900 * time.Millisecond, 400 * time.Millisecond
 	limits := placement.Limits{Queue: limit, Wait: time.Second}
 	for i := range 100 {
-		delay := ComeBack(placement.Verdict{Queue: queue, Soonest: queue}, limits, float64(i)/100)
+		delay := RetryAfter(placement.Decision{ShortestQueue: queue, ShortestWait: queue}, limits, float64(i)/100)
 		require.LessOrEqual(t, queue-delay, limit, "the rest of the queue by then")
 		require.Less(t, delay, time.Second, "the delay isn't longer than necessary")
 	}
@@ -27,7 +27,7 @@
 // admitted, the next reports tell whether there is room again.
 func TestWithoutAQueueCallersRetrySoon(t *testing.T) {
 	limits := placement.Limits{Queue: 100 * time.Millisecond, Wait: time.Second}
-	require.Equal(t, minRetryAfter, ComeBack(placement.Verdict{Queue: 50 * time.Millisecond}, limits, 0))
+	require.Equal(t, minRetryAfter, RetryAfter(placement.Decision{ShortestQueue: 50 * time.Millisecond}, limits, 0))
 }
 
 func TestRetryAfterIsBounded(t *testing.T) {
@@ -35,8 +35,8 @@
 		draw := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, name))
 		}
-		v := placement.Verdict{Queue: draw("queue"), Soonest: draw("soonest")}
-		delay := ComeBack(v, placement.Limits{Queue: draw("queue limit"), Wait: draw("limit")}, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
+		v := placement.Decision{ShortestQueue: draw("queue"), ShortestWait: draw("soonest")}
+		delay := RetryAfter(v, placement.Limits{Queue: draw("queue limit"), Wait: draw("limit")}, rapid.Float64Range(0, 0.999).Draw(t, "draw"))
 		require.GreaterOrEqual(t, delay, minRetryAfter)
 		require.Less(t, delay, maxRetryAfter*3/2)
 	})
@@ -45,6 +45,6 @@
 // Guards against retries that are refused again: nearly all requests of an organisation far ahead
 // of others are shed, so the next reports change nothing for them.
 func TestShedRequestsRetryLater(t *testing.T) {
-	limits := placement.Limits{Queue: time.Second, Wait: time.Second, HeldBack: 0.9}
-	require.GreaterOrEqual(t, ComeBack(placement.Verdict{}, limits, 0), 6*minRetryAfter)
+	limits := placement.Limits{Queue: time.Second, Wait: time.Second, ShedFraction: 0.9}
+	require.GreaterOrEqual(t, RetryAfter(placement.Decision{}, limits, 0), 6*minRetryAfter)
 }
--- a/pkg/slopes/load.go
+++ b/pkg/slopes/load.go
@@ -31,7 +31,7 @@
 func (l *load) request(i int) sched.Request {
 	return sched.Request{
 		Org: orgName(i % l.orgs), Class: wire.ClassNormal, Pool: poolName(i % l.pools),
-		Prefix: rand.Uint64(), Content: rand.Uint64(),
+		PrefixHash: rand.Uint64(), ContentHash: rand.Uint64(),
 		Deadline: time.Now().Add(time.Minute),
 	}
 }
