--- a/pkg/gateway/batch.go
+++ b/pkg/gateway/batch.go
@@ -27,7 +27,7 @@
 // before the first event, which is never delayed.
 func (g *Gateway) waitForBatch(state *attemptState) time.Duration {
 	s := g.settings.Load()
-	delay := batchDelay(g.activeStreams.Load(), s.Cores, s.EventDelay)
+	delay := batchDelay(g.activeStreams.Load(), s.Cores, s.MaxEventDelay)
 	if delay == 0 || state.lastEventAt.IsZero() {
 		return 0
 	}
--- a/pkg/gateway/caller.go
+++ b/pkg/gateway/caller.go
@@ -32,10 +32,10 @@
 // notices that a caller left, and it does so late on an overloaded host.
 func WithConn(ctx context.Context, c net.Conn) context.Context { return withConn(ctx, c, false) }
 
-// WithHandedOver is WithConn for a server that takes over connections from other routers. Each
+// WithHandover is WithConn for a server that takes over connections from other routers. Each
 // connection carries one request: if it were kept alive, either of the two routers could lose
 // the next request.
-func WithHandedOver(ctx context.Context, c net.Conn) context.Context { return withConn(ctx, c, true) }
+func WithHandover(ctx context.Context, c net.Conn) context.Context { return withConn(ctx, c, true) }
 
 func withConn(ctx context.Context, c net.Conn, singleUse bool) context.Context {
 	conn := &callerConn{id: lastConnID.Add(1), singleUse: singleUse}
--- a/pkg/gateway/caller_test.go
+++ b/pkg/gateway/caller_test.go
@@ -45,9 +45,9 @@
 	beforeSend func()
 }
 
-func (d slowDialect) Outgoing(h http.Header, e Errand) http.Header {
+func (d slowDialect) UpstreamHeader(h http.Header, e AttemptMetadata) http.Header {
 	d.beforeSend()
-	return d.testDialect.Outgoing(h, e)
+	return d.testDialect.UpstreamHeader(h, e)
 }
 
 // closedByPeer reports whether the peer has closed c, even if data is unread.
--- a/pkg/gateway/content.go
+++ b/pkg/gateway/content.go
@@ -11,8 +11,8 @@
 	// before it is refused. One or two may be coincidence: an upstream that crashes breaks off all
 	// requests that it runs, and their callers retry.
 	CrashLimit = 3
-	// SuspectFor is how long content stays suspect after the last upstream broke off.
-	SuspectFor = time.Minute
+	// QuarantineDuration is how long content stays suspect after the last upstream broke off.
+	QuarantineDuration = time.Minute
 )
 
 // hashContent identifies what a request would run: the same organisation, method, URI and body have
--- a/pkg/gateway/dialect.go
+++ b/pkg/gateway/dialect.go
@@ -8,42 +8,42 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Ask is what a caller's headers say.
-type Ask struct {
+// RequestMetadata is what a caller's headers say.
+type RequestMetadata struct {
 	// RequestID identifies this attempt of the caller.
 	RequestID string
-	// Key is the caller's API key; empty if it sent none.
-	Key string
+	// APIKey is the caller's API key; empty if it sent none.
+	APIKey string
 	// Deadline is how long the caller waits for the response; 0 if it doesn't say.
 	Deadline time.Duration
-	// After is the ID of the last stream event that the caller has received; Resumes is whether the
-	// caller named one.
-	After   int64
-	Resumes bool
+	// LastEventID is the ID of the last stream event that the caller has received; Resumes is
+	// whether the caller named one.
+	LastEventID int64
+	Resumes     bool
 	// Prompt is set when the caller describes work for a model engine.
 	Prompt *prompt.Prompt
 }
 
-// Errand is what the gateway tells an upstream in addition to the caller's own headers.
-type Errand struct {
+// AttemptMetadata is what the gateway tells an upstream in addition to the caller's own headers.
+type AttemptMetadata struct {
 	Instance     upstream.ID
 	Organisation string
 	// FetchFrom is the address of an engine from which KV cache is fetched; empty for none.
 	FetchFrom string
-	// Left is how long the gateway still waits for the response.
-	Left time.Duration
-	// After is the ID of the event after which a stream resumes; it counts only if Resumes is set.
-	After   int64
-	Resumes bool
+	// TimeLeft is how long the gateway still waits for the response.
+	TimeLeft time.Duration
+	// LastEventID is the ID of the event after which a stream resumes; it counts only if Resumes is set.
+	LastEventID int64
+	Resumes     bool
 }
 
 // Dialect translates headers of callers and upstreams.
 type Dialect interface {
-	// Ask decodes a caller's headers.
-	Ask(h http.Header) Ask
-	// Outgoing returns the headers for an upstream: the caller's, without hop-by-hop headers and
+	// DecodeRequest decodes a caller's headers.
+	DecodeRequest(h http.Header) RequestMetadata
+	// UpstreamHeader returns the headers for an upstream: the caller's, without hop-by-hop headers and
 	// without those that only the gateway may set, plus those for e.
-	Outgoing(h http.Header, e Errand) http.Header
+	UpstreamHeader(h http.Header, e AttemptMetadata) http.Header
 	// NotRun reports whether an upstream's response says that it did not run the request.
 	NotRun(status int, h http.Header) bool
 	// IDHeader returns the name of the header in which callers send, and upstreams echo, a request's ID.
--- a/pkg/gateway/env_test.go
+++ b/pkg/gateway/env_test.go
@@ -30,13 +30,13 @@
 
 func (testDialect) IDHeader() string { return "X-Id" }
 
-func (testDialect) Ask(h http.Header) Ask {
-	a := Ask{RequestID: h.Get("X-Id"), Key: h.Get("X-Key")}
+func (testDialect) DecodeRequest(h http.Header) RequestMetadata {
+	a := RequestMetadata{RequestID: h.Get("X-Id"), APIKey: h.Get("X-Key")}
 	if ms, err := strconv.Atoi(h.Get("X-Deadline")); err == nil {
 		a.Deadline = time.Duration(ms) * time.Millisecond
 	}
 	if n, err := strconv.ParseInt(h.Get("X-After"), 10, 64); err == nil {
-		a.After, a.Resumes = n, true
+		a.LastEventID, a.Resumes = n, true
 	}
 	if n, err := strconv.Atoi(h.Get("X-Tokens")); err == nil {
 		a.Prompt = &prompt.Prompt{Input: n, MaxOutput: 10, Parts: []prompt.Part{{ID: "own", Tokens: n}}}
@@ -48,18 +48,18 @@
 	return a
 }
 
-func (testDialect) Outgoing(h http.Header, e Errand) http.Header {
+func (testDialect) UpstreamHeader(h http.Header, e AttemptMetadata) http.Header {
 	out := h.Clone()
 	out.Del("X-Key")
 	out.Del("Content-Length")
 	out.Set("X-Org", e.Organisation)
 	out.Set("X-Instance", string(e.Instance))
-	out.Set("X-Left", strconv.FormatInt(e.Left.Milliseconds(), 10))
+	out.Set("X-Left", strconv.FormatInt(e.TimeLeft.Milliseconds(), 10))
 	if e.FetchFrom != "" {
 		out.Set("X-Fetch", e.FetchFrom)
 	}
 	if e.Resumes {
-		out.Set("X-After", strconv.FormatInt(e.After, 10))
+		out.Set("X-After", strconv.FormatInt(e.LastEventID, 10))
 	}
 	return out
 }
@@ -96,12 +96,12 @@
 	logger := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	env := &testEnv{t: t, catalog: catalog.New(logger)}
 	env.gateway = New(Settings{PrefillTokensPerMs: 50, FirstEvent: time.Millisecond, SlotTurn: time.Millisecond,
-		RepeatRatio: 1, RepeatSlack: 100, RepeatWindow: 10 * time.Second}, Parts{
+		RetryRatio: 1, RetrySlack: 100, RetryWindow: 10 * time.Second}, Dependencies{
 		Catalog: env.catalog, Dialect: testDialect{}, Pools: forward.NewPools("X-Id"), Health: upstream.NewHealth(),
-		Ledger: placement.NewLedger(), Holdings: placement.NewHoldings(), Shares: placement.NewShares(), Inflows: placement.NewInflows(), Paces: pace.NewBook(),
-		Warmup:   env.newWarmupGate(),
-		Suspects: quarantine.New(quarantine.Config{Limit: CrashLimit, FadeAfter: SuspectFor}),
-		Peers:    singlePeer{}, Crowded: func() bool { return false }, Overrun: func() bool { return env.overloaded }, Late: func() bool { return env.cpuStarved }, Log: logger,
+		Loads: placement.NewLedger(), PrefixIndex: placement.NewHoldings(), Shares: placement.NewShares(), Inflows: placement.NewInflows(), Estimator: pace.NewBook(),
+		Warmup:     env.newWarmupGate(),
+		Quarantine: quarantine.New(quarantine.Config{Limit: CrashLimit, FadeAfter: QuarantineDuration}),
+		Peers:      singlePeer{}, ConnectionPressure: func() bool { return false }, Overloaded: func() bool { return env.overloaded }, CPUStarved: func() bool { return env.cpuStarved }, Log: logger,
 	})
 	env.server = httptest.NewUnstartedServer(env.gateway)
 	env.server.Config.ConnContext = WithConn
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -62,66 +62,67 @@
 	terminating
 )
 
-// Parts are the components of a Gateway.
-type Parts struct {
-	Catalog  *catalog.Catalog
-	Dialect  Dialect
-	Pools    *forward.Pools
-	Health   *upstream.Health
-	Ledger   *placement.Ledger
-	Holdings *placement.Holdings
-	Shares   *placement.Shares
-	Inflows  *placement.Inflows
-	Paces    *pace.Book
+// Dependencies are the components of a Gateway.
+type Dependencies struct {
+	Catalog     *catalog.Catalog
+	Dialect     Dialect
+	Pools       *forward.Pools
+	Health      *upstream.Health
+	Loads       *placement.Ledger
+	PrefixIndex *placement.Holdings
+	Shares      *placement.Shares
+	Inflows     *placement.Inflows
+	Estimator   *pace.Book
 	// Warmup limits the requests that cold upstreams get.
-	Warmup   *warmup.Gate
-	Suspects *quarantine.List
-	Peers    Peers
-	// Crowded reports whether the router is short of connections or CPU, so that callers'
+	Warmup     *warmup.Gate
+	Quarantine *quarantine.List
+	Peers      Peers
+	// ConnectionPressure reports whether the router is short of connections or CPU, so that callers'
 	// connections should not be kept alive.
-	Crowded func() bool
-	// Overrun reports whether the router has so little CPU that any request would be late.
-	Overrun func() bool
-	// Late reports whether the router gets less CPU than it needs, so that its timers expire
+	ConnectionPressure func() bool
+	// Overloaded reports whether the router has so little CPU that any request would be late.
+	Overloaded func() bool
+	// CPUStarved reports whether the router gets less CPU than it needs, so that its timers expire
 	// before it sees that others have answered.
-	Late func() bool
-	Log  log.Interface
+	CPUStarved func() bool
+	Log        log.Interface
 	// Metrics receives counters and histograms.
 	Metrics tally.Scope
 }
 
 // New returns a gateway in the serving state.
-func New(s Settings, p Parts) *Gateway {
+func New(s Settings, d Dependencies) *Gateway {
 	g := &Gateway{
-		catalog: p.Catalog, dialect: p.Dialect, pools: p.Pools, health: p.Health,
-		loads: p.Ledger, prefixIndex: p.Holdings, shares: p.Shares, inflows: p.Inflows, estimator: p.Paces, warmup: p.Warmup, quarantine: p.Suspects, peers: p.Peers, connectionPressure: p.Crowded, overloaded: p.Overrun, cpuStarved: p.Late, log: p.Log,
-		metrics:     newRequestMetrics(p.Metrics),
+		catalog: d.Catalog, dialect: d.Dialect, pools: d.Pools, health: d.Health,
+		loads: d.Loads, prefixIndex: d.PrefixIndex, shares: d.Shares, inflows: d.Inflows, estimator: d.Estimator, warmup: d.Warmup, quarantine: d.Quarantine, peers: d.Peers, connectionPressure: d.ConnectionPressure, overloaded: d.Overloaded, cpuStarved: d.CPUStarved, log: d.Log,
+		metrics:     newRequestMetrics(d.Metrics),
 		retryBudget: new(placement.Budget),
 
-		disconnects: newDisconnectWatcher(p.Log),
+		disconnects: newDisconnectWatcher(d.Log),
 	}
-	g.Tune(s)
+	g.UpdateSettings(s)
 	return g
 }
 
-// Tune replaces the settings; it may be called while requests are served.
-func (g *Gateway) Tune(s Settings) {
+// UpdateSettings replaces the settings; it may be called while requests are served.
+func (g *Gateway) UpdateSettings(s Settings) {
 	g.settings.Store(&s)
-	g.retryBudget.Set(s.RepeatRatio, s.RepeatSlack, s.RepeatWindow)
+	g.retryBudget.Set(s.RetryRatio, s.RetrySlack, s.RetryWindow)
 }
 
 // Ready reports whether callers should be sent to this router.
 func (g *Gateway) Ready() bool { return g.state.Load() == serving && g.catalog.Complete() }
 
-// Leave starts draining: the gateway is no longer ready, but still serves requests. The process
+// Drain starts draining: the gateway is no longer ready, but still serves requests. The process
 // ends at end.
-func (g *Gateway) Leave(end time.Time) {
+func (g *Gateway) Drain(end time.Time) {
 	g.drainDeadline.Store(&end)
 	g.state.CompareAndSwap(serving, draining)
 }
 
-// Shut makes the gateway refuse new requests that may not finish before the end that Leave has set.
-func (g *Gateway) Shut() { g.state.Store(terminating) }
+// RefuseLateRequests makes the gateway refuse new requests that may not finish before the end that
+// Drain has set.
+func (g *Gateway) RefuseLateRequests() { g.state.Store(terminating) }
 
 const (
 	// usualMaxCallTime is the longest time that a call of a plain service usually takes.
--- a/pkg/gateway/handle.go
+++ b/pkg/gateway/handle.go
@@ -18,7 +18,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, in *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	r := &request{in: in, w: w, start: time.Now(), meta: g.dialect.Ask(in.Header)}
+	r := &request{in: in, w: w, start: time.Now(), meta: g.dialect.DecodeRequest(in.Header)}
 	defer r.release()
 	defer g.record(r)
 	g.disconnects.poll(r.start)
@@ -88,7 +88,7 @@
 	if r.route.Public || !table.HasOrganisations() {
 		return nil
 	}
-	org := table.Organisation(r.meta.Key)
+	org := table.Organisation(r.meta.APIKey)
 	if org == nil {
 		return errUnknownKey()
 	}
--- a/pkg/gateway/logrecord_bench_test.go
+++ b/pkg/gateway/logrecord_bench_test.go
@@ -35,7 +35,7 @@
 }
 
 func benchRequest() *request {
-	r := &request{start: time.Now(), meta: Ask{RequestID: "9c41d07be2a35f68"}, configVersion: 4711, org: "hule930", route: &routing.Route{Name: "lohu930", Kind: routing.Stream},
+	r := &request{start: time.Now(), meta: RequestMetadata{RequestID: "9c41d07be2a35f68"}, configVersion: 4711, org: "hule930", route: &routing.Route{Name: "lohu930", Kind: routing.Stream},
 		service: &routing.Service{Name: "model"}, standing: placement.Standing{Share: 7.25}, tried: map[upstream.ID]bool{}}
 	r.logRecord.placement = placementRecord{Candidates: 64, Routers: 86, ListAgeMs: 240, ShortestWaitMs: 812, ShortestQueueMs: 640, MaxWaitMs: 640, MaxQueueMs: 92, Occupancy: 0.14}
 	return r
--- a/pkg/gateway/mechanisms.go
+++ b/pkg/gateway/mechanisms.go
@@ -2,8 +2,8 @@
 
 import "github.com/flamingowind/flamingowind/pkg/placement"
 
-// Mechanisms says which mechanisms of placement are switched off, to measure what each is worth.
-type Mechanisms struct {
+// DisabledMechanisms says which mechanisms of placement are switched off, to measure what each is worth.
+type DisabledMechanisms struct {
 	// Speeds: the measured prefill speed of engines and cost of long prompts is taken into account.
 	Speeds bool
 	// Pauses: long prompts are placed so that they make few other streams late.
@@ -23,7 +23,7 @@
 }
 
 // liftLimits removes from l the limits of the mechanisms that are switched off.
-func (m Mechanisms) liftLimits(l *placement.Limits) {
+func (m DisabledMechanisms) liftLimits(l *placement.Limits) {
 	if m.Yield {
 		l.Queue, l.OwnQueue, l.Spare, l.HeldBack = l.Wait, l.Wait, false, 0
 	}
--- a/pkg/gateway/place.go
+++ b/pkg/gateway/place.go
@@ -36,7 +36,7 @@
 	if req.Limits.Spare {
 		g.inflows.AskSpare(r.service.Name, now)
 	}
-	if !g.settings.Load().Off.Herds {
+	if !g.settings.Load().Disabled.Herds {
 		req.Unseen, req.Draw = g.inflows.Unseen(r.service.Name, now), rand.Float64()
 	}
 	found := placement.Choose(req, candidates, g.speedFor(r))
@@ -72,7 +72,7 @@
 	if r.service.Engine == nil || r.meta.Prompt == nil {
 		return
 	}
-	disabled := g.settings.Load().Off
+	disabled := g.settings.Load().Disabled
 	req.Fetch = !disabled.Fetch
 	if !disabled.Speeds {
 		req.Scale = g.estimator.Scale(r.service.Name, r.meta.Prompt.Input)
@@ -103,7 +103,7 @@
 		tokens := cached[inst.Life()]
 		list = append(list, placement.Candidate{Instance: inst, Kept: tokens.Sent, Settled: tokens.Settled, Handicap: handicap})
 	})
-	if r.service.Engine != nil && !g.settings.Load().Off.Speeds {
+	if r.service.Engine != nil && !g.settings.Load().Disabled.Speeds {
 		for i := range list {
 			list[i].Slowness = g.estimator.Slowness(list[i].Instance.Life(), now)
 		}
@@ -137,7 +137,7 @@
 	prefillTime := max(1, req.Scale) * float64(r.meta.Prompt.Input) / g.settings.Load().PrefillTokensPerMs * float64(time.Millisecond)
 	r.standing = g.shares.Standing(r.org, g.capacity(), now)
 	req.Limits = shedding.Prompt(shedding.Ask{Objective: r.route.Objective, Waited: now.Sub(r.start), Reading: time.Duration(prefillTime), Standing: r.standing})
-	g.settings.Load().Off.liftLimits(&req.Limits)
+	g.settings.Load().Disabled.liftLimits(&req.Limits)
 }
 
 // capacity returns the configured capacity of all engines together, in tokens per second.
--- a/pkg/gateway/place_bench_test.go
+++ b/pkg/gateway/place_bench_test.go
@@ -20,7 +20,7 @@
 // BenchmarkCandidates finds the candidates for a prompt that no engine has cached.
 func BenchmarkCandidates(b *testing.B) {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-	g := New(Settings{}, Parts{Catalog: catalog.New(quiet), Health: upstream.NewHealth(), Ledger: placement.NewLedger(), Holdings: placement.NewHoldings(),
+	g := New(Settings{}, Dependencies{Catalog: catalog.New(quiet), Health: upstream.NewHealth(), Loads: placement.NewLedger(), PrefixIndex: placement.NewHoldings(),
 		Peers: singlePeer{}, Log: quiet})
 	var list []upstream.Instance
 	loads := make(map[upstream.Life]placement.Load)
--- a/pkg/gateway/place_test.go
+++ b/pkg/gateway/place_test.go
@@ -19,7 +19,7 @@
 	env := newTestEnv(t)
 	limitsFor := func(got float64) placement.Limits {
 		env.gateway.shares.SetOthers(map[string]placement.Use{"org": {Asked: 5e6, Got: got}, "other": {Asked: 5e6, Got: 1e6 - min(got, 9e5)}})
-		r := &request{org: "org", start: time.Now(), meta: Ask{Prompt: &prompt.Prompt{Input: 100, MaxOutput: 10}},
+		r := &request{org: "org", start: time.Now(), meta: RequestMetadata{Prompt: &prompt.Prompt{Input: 100, MaxOutput: 10}},
 			route: &routing.Route{Objective: time.Second}, service: &routing.Service{Engine: newEngine(10)}}
 		var req placement.Request
 		env.gateway.setLimits(r, &req, r.start)
@@ -36,7 +36,7 @@
 
 	require.EqualValues(t, 10, far.Reserve)
 	unlimited := far
-	Mechanisms{Yield: true, Occupancy: true, Reserve: true, Harm: true}.liftLimits(&unlimited)
+	DisabledMechanisms{Yield: true, Occupancy: true, Reserve: true, Harm: true}.liftLimits(&unlimited)
 	require.Equal(t, placement.Limits{Wait: far.Wait, Queue: far.Wait, OwnQueue: far.Wait, Stay: true}, unlimited, "only the limit of the wait applies when all mechanisms are switched off")
 	require.Less(t, far.Queue, over.Queue/10)
 	require.InDelta(t, 0.25*8/10, far.Occupancy, 0.01, "the further an organisation is over its share, the fewer slots it may take")
--- a/pkg/gateway/refusal.go
+++ b/pkg/gateway/refusal.go
@@ -68,7 +68,7 @@
 }
 
 func errQuarantined() *verdict.Error {
-	return errNotRun(http.StatusServiceUnavailable, verdict.CodeQuarantined, "upstreams broke off while they ran this request; it is refused for a time", SuspectFor)
+	return errNotRun(http.StatusServiceUnavailable, verdict.CodeQuarantined, "upstreams broke off while they ran this request; it is refused for a time", QuarantineDuration)
 }
 
 func errTimeout() *verdict.Error {
@@ -79,9 +79,9 @@
 	return verdict.New(verdict.MayHaveRun, http.StatusBadGateway, verdict.CodeUpstreamFailed, "the upstream broke off or answered garbage")
 }
 
-// TurnedAway returns the whole response, header and body, for a connection that is rejected before
+// RejectionResponse returns the whole response, header and body, for a connection that is rejected before
 // its request is read; after is its Retry-After.
-func TurnedAway(after time.Duration) []byte {
+func RejectionResponse(after time.Duration) []byte {
 	e := errRouterOverloaded().After(after)
 	body := e.Message + "\n"
 	response := http.Response{StatusCode: e.Status, ProtoMajor: 1, ProtoMinor: 1, Header: make(http.Header), Close: true,
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -17,7 +17,7 @@
 	ctx           context.Context
 	in            *http.Request
 	w             http.ResponseWriter
-	meta          Ask
+	meta          RequestMetadata
 	start         time.Time
 	deadline      time.Time // when the final response is due
 	configVersion int64
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -186,10 +186,10 @@
 
 func (g *Gateway) newCall(r *request, choice placement.Choice, now time.Time) *forward.Call {
 	inst := choice.Candidate.Instance
-	meta := Errand{Instance: inst.ID, Organisation: r.org, Left: r.remaining(now), After: r.meta.After, Resumes: r.meta.Resumes}
+	meta := AttemptMetadata{Instance: inst.ID, Organisation: r.org, TimeLeft: r.remaining(now), LastEventID: r.meta.LastEventID, Resumes: r.meta.Resumes}
 	if r.splitter != nil {
 		if last, seen := r.splitter.Last(); seen {
-			meta.After, meta.Resumes = last, true
+			meta.LastEventID, meta.Resumes = last, true
 		}
 	}
 	if choice.Holder != nil {
@@ -197,7 +197,7 @@
 	}
 	return &forward.Call{
 		Instance: inst, Method: r.in.Method, URI: r.in.RequestURI, Host: r.in.Host,
-		Header: g.dialect.Outgoing(r.in.Header, meta), Body: r.body, RequestID: r.meta.RequestID,
+		Header: g.dialect.UpstreamHeader(r.in.Header, meta), Body: r.body, RequestID: r.meta.RequestID,
 		Wanted: func() bool { return r.stillWanted() && g.sendable(r, inst) }, Abort: &r.canceler.abort,
 	}
 }
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -14,16 +14,16 @@
 	FirstEvent time.Duration
 	// SlotTurn is the time after which one of a full engine's slots becomes free.
 	SlotTurn time.Duration
-	// Off are the mechanisms that are switched off, to measure what they are worth.
-	Off Mechanisms
-	// Cores is the number of CPU cores of the router, EventDelay how long an event of a stream may
+	// Disabled are the mechanisms that are switched off, to measure what they are worth.
+	Disabled DisabledMechanisms
+	// Cores is the number of CPU cores of the router, MaxEventDelay how long an event of a stream may
 	// take through it; 0 if unknown.
-	Cores      float64
-	EventDelay time.Duration
-	// RepeatRatio, RepeatSlack and RepeatWindow limit retries over all routers.
-	RepeatRatio  float64
-	RepeatSlack  float64
-	RepeatWindow time.Duration
+	Cores         float64
+	MaxEventDelay time.Duration
+	// RetryRatio, RetrySlack and RetryWindow limit retries over all routers.
+	RetryRatio  float64
+	RetrySlack  float64
+	RetryWindow time.Duration
 	// Grace is the time between the signal to stop and the forced end.
 	Grace time.Duration
 }
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -91,7 +91,7 @@
 	if r.splitter == nil {
 		r.splitter = new(forward.Events)
 		if r.meta.Resumes {
-			r.splitter = forward.Resumed(r.meta.After)
+			r.splitter = forward.Resumed(r.meta.LastEventID)
 		}
 	}
 	return r.splitter
--- a/pkg/gatewayd/check.go
+++ b/pkg/gatewayd/check.go
@@ -42,7 +42,7 @@
 	need(s.Engines.PrefillTokensPerMs > 0, "engines.prefillTokensPerMs must be over 0")
 	need(s.Entries.KeepSeconds > 0, "entries.keepSeconds must be over 0")
 	for _, name := range s.Trial.Off {
-		need(mechanism(new(gateway.Mechanisms), name) != nil, "trial.off: %q is no mechanism", name)
+		need(mechanism(new(gateway.DisabledMechanisms), name) != nil, "trial.off: %q is no mechanism", name)
 	}
 	_, err := log.ParseLevel(s.Log.Level)
 	need(err == nil, "log.level: %q is no level", s.Log.Level)
--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -35,13 +35,13 @@
 	if err != nil {
 		return errors.Annotatef(err, "listen for %s", facingRouters)
 	}
-	taking, err := admission.New(tcp, s.Limits.Cores, gateway.TurnedAway)
+	taking, err := admission.New(tcp, s.Limits.Cores, gateway.RejectionResponse)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	face := faceOn(facingRouters, taking, p.gateway)
 	face.server.ConnState = p.crowd.observe
-	face.server.ConnContext = gateway.WithHandedOver
+	face.server.ConnContext = gateway.WithHandover
 	p.faces = append(p.faces, face)
 	targets := &targets{find: p.handoverTargets}
 	p.handover, err = handover.NewRelay(s.Limits.Cores, targets.now, l.Refuse)
--- a/pkg/gatewayd/leave.go
+++ b/pkg/gatewayd/leave.go
@@ -22,10 +22,10 @@
 	began := time.Now()
 	grace := p.settings.Load().Leaving.GraceSeconds
 	end := began.Add(seconds((1 - endMargin) * grace))
-	p.gateway.Leave(end)
+	p.gateway.Drain(end)
 	p.log.WithField("event", "leaving").WithField("active", p.gateway.Active()).Info("router leaves")
 	time.Sleep(time.Until(began.Add(seconds(refuseAfter * grace))))
-	p.gateway.Shut()
+	p.gateway.RefuseLateRequests()
 	for p.gateway.Active()+p.passedOn() > 0 && time.Now().Before(end) {
 		time.Sleep(leavePoll)
 	}
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -101,7 +101,7 @@
 	if s.Limits.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMiB<<20) * memoryShare))
 	}
-	suspects := quarantine.New(quarantine.Config{Limit: gateway.CrashLimit, FadeAfter: gateway.SuspectFor})
+	suspects := quarantine.New(quarantine.Config{Limit: gateway.CrashLimit, FadeAfter: gateway.QuarantineDuration})
 	ledger, shares, inflows, paces := placement.NewLedger(), placement.NewShares(), placement.NewInflows(), pace.NewBook()
 	p := &Process{log: l, readdress: d.Readdress, metrics: telemetry.NewMetrics(), catalog: catalog.New(l), pools: forward.NewPools(d.Dialect.IDHeader()),
 		health: upstream.NewHealth(), holdings: placement.NewHoldings()}
@@ -130,10 +130,10 @@
 	p.catalog.FollowRestored(p.warmup.Restore)
 	p.joiner = fleet.NewJoiner(p.exchange, d.Registry, s.Entries.Known, s.Router.FirstStart, l)
 	p.watcher = catalog.NewWatcher(p.catalog, d.Store, duties{ranks: p.fleet, settled: p.joiner.Settled}, l)
-	p.gateway = gateway.New(gatewaySettings(s), gateway.Parts{
+	p.gateway = gateway.New(gatewaySettings(s), gateway.Dependencies{
 		Catalog: p.catalog, Dialect: d.Dialect, Pools: p.pools, Health: p.health,
-		Ledger: ledger, Holdings: p.holdings, Shares: shares, Inflows: inflows, Paces: paces, Warmup: p.warmup, Suspects: suspects, Peers: p.fleet, Log: l,
-		Crowded: func() bool { return p.crowd.full() || p.pressure.pressed() || p.inbound.Busy(time.Now()) }, Overrun: p.overrun, Late: p.pressure.pressed, Metrics: p.metrics.Scope,
+		Loads: ledger, PrefixIndex: p.holdings, Shares: shares, Inflows: inflows, Estimator: paces, Warmup: p.warmup, Quarantine: suspects, Peers: p.fleet, Log: l,
+		ConnectionPressure: func() bool { return p.crowd.full() || p.pressure.pressed() || p.inbound.Busy(time.Now()) }, Overloaded: p.overrun, CPUStarved: p.pressure.pressed, Metrics: p.metrics.Scope,
 	})
 	p.meet(s.Entries.Known)
 	return p, errors.Trace(p.bind(d.Faces))
@@ -156,11 +156,11 @@
 		PrefillTokensPerMs: s.Engines.PrefillTokensPerMs,
 		FirstEvent:         millis(s.Engines.FirstEventMs),
 		SlotTurn:           millis(s.Engines.SlotTurnMs),
-		Off:                s.Trial.off(),
-		Cores:              s.Limits.Cores, EventDelay: millis(s.Streams.EventDelayMs),
-		RepeatRatio: s.Repeats.Ratio, RepeatSlack: s.Repeats.Slack,
-		RepeatWindow: seconds(s.Repeats.WindowSeconds),
-		Grace:        seconds(s.Leaving.GraceSeconds),
+		Disabled:           s.Trial.off(),
+		Cores:              s.Limits.Cores, MaxEventDelay: millis(s.Streams.EventDelayMs),
+		RetryRatio: s.Repeats.Ratio, RetrySlack: s.Repeats.Slack,
+		RetryWindow: seconds(s.Repeats.WindowSeconds),
+		Grace:       seconds(s.Leaving.GraceSeconds),
 	}
 }
 
@@ -215,7 +215,7 @@
 	if err != nil {
 		return errors.Annotatef(err, "listen for %s", facingCallers)
 	}
-	l, err := admission.New(tcp, limits.Cores, gateway.TurnedAway)
+	l, err := admission.New(tcp, limits.Cores, gateway.RejectionResponse)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/pkg/gatewayd/reload.go
+++ b/pkg/gatewayd/reload.go
@@ -30,7 +30,7 @@
 	needs := needRestart(*old, s)
 	s.Router, s.Listen, s.Advertise, s.Limits.MemoryMiB, s.Limits.Cores, s.Log = old.Router, old.Listen, old.Advertise, old.Limits.MemoryMiB, old.Limits.Cores, old.Log
 	p.settings.Store(&s)
-	p.gateway.Tune(gatewaySettings(s))
+	p.gateway.UpdateSettings(gatewaySettings(s))
 	p.tuneWarmup(s)
 	p.crowd.limit.Store(int64(s.Limits.KeptConnections))
 	p.meet(s.Entries.Known)
--- a/pkg/gatewayd/trial.go
+++ b/pkg/gatewayd/trial.go
@@ -10,7 +10,7 @@
 }
 
 // mechanisms gives the switch of a mechanism by its name; nil for one that isn't known.
-func mechanism(m *gateway.Mechanisms, name string) *bool {
+func mechanism(m *gateway.DisabledMechanisms, name string) *bool {
 	switch name {
 	case "speeds":
 		return &m.Speeds
@@ -33,8 +33,8 @@
 }
 
 // off gives the switches; Check has seen to it that the names are known.
-func (t TrialSettings) off() gateway.Mechanisms {
-	var m gateway.Mechanisms
+func (t TrialSettings) off() gateway.DisabledMechanisms {
+	var m gateway.DisabledMechanisms
 	for _, name := range t.Off {
 		if one := mechanism(&m, name); one != nil {
 			*one = true
