--- a/pkg/gateway/peers.go
+++ b/pkg/gateway/peers.go
@@ -4,8 +4,8 @@
 
 // Peers are the routers that share the work.
 type Peers interface {
-	// Count is how many they are, this one included.
+	// Count returns the number of routers, including this one.
 	Count() int
-	// NoteRequest notes that this router got a request.
+	// NoteRequest notes that this router received a request.
 	NoteRequest(now time.Time)
 }
