--- a/pkg/fair/bound_test.go
+++ b/pkg/fair/bound_test.go
@@ -6,19 +6,19 @@
 	"pgregory.net/rapid"
 )
 
-// work is one request that runs in the bound's test.
-type work struct {
+// request is a running request of TestGapIsBounded.
+type request struct {
 	org                   int
 	cost, charged, served float64
 }
 
 var names = []string{"a", "b", "c"}
 
-// Story: three organisations are backlogged all the time and their requests' costs are
-// known only at the end; predictions say nothing about them. Whoever is lucky with
-// predictions must not pull ahead for ever. Between any two organisations, over any
-// window, the difference of weighted service stays within a constant times the largest
-// request: each can be ahead by at most what fills all slots.
+// Three organisations are backlogged all the time. The cost of a request is known only
+// when it ends, and predictions are arbitrary. An organisation whose predictions are too
+// low must not get ahead indefinitely: between any two organisations, over any window, the
+// difference of weighted service stays within a constant times the largest request, since
+// each can be ahead by at most the work that fills all slots.
 func TestGapIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest, steps = 40.0, 4000
@@ -31,22 +31,22 @@
 		for i, name := range names {
 			o.SetWeight(name, weights[i])
 			o.Push(&Entry[int]{Org: name, Value: i})
-			o.Push(&Entry[int]{Org: name, Value: i}) // one more waits whenever one is picked
+			o.Push(&Entry[int]{Org: name, Value: i}) // one entry still waits after each pick
 		}
-		var running []*work
+		var running []*request
 		var served [3]float64
-		var low, high [3]float64 // of the difference between i and i+1
+		var low, high [3]float64 // of the difference between organisations i and i+1
 		for n := range steps {
 			for len(running) < slots {
 				e := o.Pick(func(*Entry[int]) bool { return true })
 				o.Push(&Entry[int]{Org: e.Org, Value: e.Value})
 				o.Charge(e.Org, hints[e.Value])
 				cost := float64(costs[(n*7+e.Value*20+len(running))%(20)+e.Value*20])
-				running = append(running, &work{org: e.Value, cost: cost, charged: hints[e.Value]})
+				running = append(running, &request{org: e.Value, cost: cost, charged: hints[e.Value]})
 			}
 			kept := running[:0]
 			for _, w := range running {
-				if !step(o, w, &served) {
+				if !serveUnit(o, w, &served) {
 					kept = append(kept, w)
 				}
 			}
@@ -64,8 +64,8 @@
 	})
 }
 
-// step serves one unit; true when the work ended and was settled.
-func step(o *Order[int], w *work, served *[3]float64) bool {
+// serveUnit delivers one unit of service to w; true when w ended and its charge was settled.
+func serveUnit(o *Order[int], w *request, served *[3]float64) bool {
 	w.served++
 	served[w.org]++
 	if w.served > w.charged {
@@ -79,9 +79,9 @@
 	return true
 }
 
-// Story: an organisation idles for an hour while another works, then sends a thousand
-// requests at once. Without the lift its counter is an hour behind, and the other one
-// waits until all thousand are served.
+// An organisation is idle for an hour while another one works, then sends a thousand
+// requests at once. Without the counter lift its counter is an hour behind, and the other
+// organisation waits until all thousand requests are served.
 func TestIdlingHoardsNoCredit(t *testing.T) {
 	o := New[int]()
 	pick := func() string {
@@ -103,13 +103,13 @@
 		got[pick()]++
 	}
 	if got["busy"] != 10 || got["idler"] != 10 {
-		t.Fatalf("served %v of 20, want 10 each", got)
+		t.Fatalf("picks of 20: %v, want 10 each", got)
 	}
 }
 
-// Story: an organisation's request is charged high and runs long, while the organisation
-// goes idle and comes back. It is lifted to the others' level; the credit for the old
-// request must not take it under that level, or it would return with hoarded credit.
+// An organisation is charged a high prediction for a long request, becomes idle and
+// returns. It is lifted to the others' level. The credit for the old request must not
+// lower its counter below that level, which would give it an advantage for having been idle.
 func TestCreditStopsAtLift(t *testing.T) {
 	o := New[int]()
 	o.Charge("a", 1000)
@@ -118,12 +118,12 @@
 	o.Push(&Entry[int]{Org: "a"})
 	o.Charge("a", -900)
 	if o.Virtual("a") != 5000 {
-		t.Fatalf("counter %v, want 5000", o.Virtual("a"))
+		t.Fatalf("counter of a is %v, want 5000", o.Virtual("a"))
 	}
 }
 
-// Story: an organisation sends urgent requests without a pause; its batch work, in the
-// same share, would wait for ever.
+// An organisation sends urgent requests without a pause, which must not starve its own
+// batch requests.
 func TestBatchIsNotStarvedByOwnUrgent(t *testing.T) {
 	o := New[int]()
 	for i := range 100 {
@@ -136,20 +136,20 @@
 			return
 		}
 	}
-	t.Fatal("batch entry starved")
+	t.Fatal("the batch entry is starved by urgent ones")
 }
 
-// Story: the first organisation in the order has only requests that may not go to the
-// one free upstream. Waiting for them would idle the slot while the others wait.
+// The first organisation in the order has only requests that may not use the one free
+// upstream. Holding the slot for it would idle capacity while others wait.
 func TestBlockedOrganisationDoesNotBlockOthers(t *testing.T) {
 	o := New[int]()
 	o.Push(&Entry[int]{Org: "a", Value: 1})
 	o.Charge("b", 100)
 	o.Push(&Entry[int]{Org: "b", Value: 2})
 	if e := o.Pick(func(e *Entry[int]) bool { return e.Value == 2 }); e == nil || e.Org != "b" {
-		t.Fatalf("picked %+v, want b's", e)
+		t.Fatalf("picked %+v, want the entry of b", e)
 	}
 	if e := o.Pick(func(*Entry[int]) bool { return true }); e == nil || e.Org != "a" {
-		t.Fatalf("picked %+v, want a's", e)
+		t.Fatalf("picked %+v, want the entry of a", e)
 	}
 }
--- a/pkg/fair/doc.go
+++ b/pkg/fair/doc.go
@@ -1,14 +1,17 @@
-// Package fair orders waiting work of organisations by weighted service received.
+// Package fair implements a weighted fair queue of organisations, ordered by the service
+// that each has received.
 //
 // Each organisation has a virtual counter: units of service divided by its weight.
-// The counter takes service as it is delivered and is never credited. Beside it stands
-// what the organisation's running work is expected to take yet. The backlogged
-// organisation with the least sum of the two is served next; a newly backlogged one is
-// lifted by the counter alone. So a wrong expectation shifts who is next for as long as
-// the work runs, and leaves no trace in the counters. The scheme is the Virtual Token
-// Counter of "Fairness in Serving Large Language Models" (Sheng et al., OSDI 2024) with
-// the expected rest added; docs/design/fair-order.md has the ways weighed.
+// Service is charged to the counter as it is delivered, so no prediction has to be
+// credited back. The service that the organisation's running work is still expected to
+// take is kept beside the counter. The backlogged organisation with the smallest sum of
+// the two is served next. An organisation that becomes backlogged is lifted to the current
+// level of the counters, without the expected service. A wrong prediction therefore
+// affects the order only while the work runs and never changes a counter. The scheme is
+// the Virtual Token Counter of "Fairness in Serving Large Language Models" (Sheng et al.,
+// OSDI 2024) with the expected service added; docs/design/fair-order.md compares the
+// alternatives.
 //
-// The package decides only: it reads no clock, holds no lock, and the same calls give
+// The package only decides: it reads no clock and holds no lock, and the same calls give
 // the same order.
 package fair
--- a/pkg/fair/entry.go
+++ b/pkg/fair/entry.go
@@ -7,27 +7,27 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Entry is one waiting piece of work.
+// Entry is one waiting unit of work, such as a request.
 type Entry[T any] struct {
 	Org   string
 	Class wire.Class
-	// Aside entries wait in a lane of their own, so that work which needs rare conditions
-	// (an idle upstream) doesn't hold up its organisation's other work.
+	// Aside entries wait in a lane of their own: they need a rare condition (an idle
+	// upstream) and must not block their organisation's other work.
 	Aside bool
-	// Since is when the work began to wait; it orders entries of one class.
+	// Since is when the work began to wait; it orders the entries of a lane.
 	Since time.Time
 	Value T
 
-	lane *lane
-	at   *list.Element
+	lane    *lane
+	element *list.Element
 }
 
-// Waiting says that the entry is in the order.
-func (e *Entry[T]) Waiting() bool { return e.at != nil }
+// Waiting reports whether the entry is in the order.
+func (e *Entry[T]) Waiting() bool { return e.element != nil }
 
 func (e *Entry[T]) laneIndex() int {
 	if e.Aside {
-		return laneAside
+		return laneIsolated
 	}
 	return min(laneUrgent+int(e.Class), laneBatch)
 }
--- a/pkg/fair/heap.go
+++ b/pkg/fair/heap.go
@@ -1,7 +1,7 @@
 package fair
 
-// accountHeap implements heap.Interface: the least key first, then the name, so
-// that the order is the same in each run.
+// accountHeap implements heap.Interface. It orders by key, then by name, so that the
+// order is deterministic.
 type accountHeap []*account
 
 func (h accountHeap) Len() int { return len(h) }
@@ -15,13 +15,13 @@
 
 func (h accountHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *accountHeap) Push(x any) {
 	a := x.(*account)
-	a.heapAt = len(*h)
+	a.heapIndex = len(*h)
 	*h = append(*h, a)
 }
 
@@ -31,6 +31,6 @@
 	a := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	a.heapAt = -1
+	a.heapIndex = -1
 	return a
 }
--- a/pkg/fair/lane.go
+++ b/pkg/fair/lane.go
@@ -4,16 +4,16 @@
 
 // Lanes of one organisation, in the order in which they are tried.
 const (
-	laneAside = iota
+	laneIsolated = iota
 	laneUrgent
 	laneNormal
 	laneBatch
-	lanes
+	laneCount
 )
 
-// lane is a queue in order of arrival.
+// lane is a queue in order of waiting time.
 type lane struct {
 	queue list.List
-	// passed counts the entries served from other lanes while this one waited.
-	passed int
+	// passedOver counts the entries served from other lanes while this one waited.
+	passedOver int
 }
--- a/pkg/fair/main_test.go
+++ b/pkg/fair/main_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestMain fixes the seed of the property tests, so that each run gives the same
-// verdict; -rapid.seed chooses another.
+// result; -rapid.seed chooses another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/pkg/fair/order.go
+++ b/pkg/fair/order.go
@@ -8,14 +8,14 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Order holds the counters of all organisations and their waiting entries.
+// Order is the fair queue: the counters of all organisations and their waiting entries.
 type Order[T any] struct {
 	accounts map[string]*account
 	backlog  accountHeap
 	waiting  int
-	// left is the account that last ceased to be backlogged.
-	left *account
-	// blocked is scratch space of Pick.
+	// lastBacklogged is the account that most recently ceased to be backlogged.
+	lastBacklogged *account
+	// blocked holds the accounts that Pick passes over; it is reused to avoid allocations.
 	blocked []*account
 }
 
@@ -33,26 +33,26 @@
 	return a
 }
 
-// Push adds an entry to its organisation's lane. An organisation that
-// becomes backlogged by it is lifted.
+// Push adds an entry to its organisation's lane. An organisation that becomes
+// backlogged by it is lifted to the current level.
 func (o *Order[T]) Push(e *Entry[T]) {
 	a := o.account(e.Org)
 	e.lane = &a.lanes[e.laneIndex()]
-	e.at = insert(&e.lane.queue, e)
+	e.element = insertByAge(&e.lane.queue, e)
 	o.waiting++
 	a.waiting++
 	if a.waiting == 1 {
-		a.lift(o.level())
+		a.lift(o.liftLevel())
 		heap.Push(&o.backlog, a)
 	}
 }
 
-// insert adds the entry behind those that wait longer, so that work which moved here
-// from elsewhere keeps its place. The walk is bounded: after a take-over thousands of
-// entries come in any order, and roughly ordered is enough.
-func insert[T any](q *list.List, e *Entry[T]) *list.Element {
+// insertByAge inserts the entry behind those that have waited longer, so that work which
+// comes from another queue keeps its place. The search is bounded: after a failover
+// thousands of entries arrive in any order, and an approximate order is enough.
+func insertByAge[T any](q *list.List, e *Entry[T]) *list.Element {
 	at := q.Back()
-	for n := 0; at != nil && n < maxWalk && e.Since.Before(at.Value.(*Entry[T]).Since); n++ {
+	for n := 0; at != nil && n < maxInsertScan && e.Since.Before(at.Value.(*Entry[T]).Since); n++ {
 		at = at.Prev()
 	}
 	if at == nil {
@@ -61,64 +61,64 @@
 	return q.InsertAfter(e, at)
 }
 
-// level is the counter of whoever is next, below which a newly backlogged organisation must not start.
-// Without the lift an organisation that idled for an hour would return with an hour's
-// credit and hold all others up until it had used it.
-func (o *Order[T]) level() float64 {
+// liftLevel is the counter of the next organisation; a newly backlogged organisation must
+// not start below it. Without the lift an organisation that was idle for an hour would
+// return with an hour's credit and block all others until it had used it.
+func (o *Order[T]) liftLevel() float64 {
 	switch {
 	case len(o.backlog) > 0:
 		return o.backlog[0].virtual
-	case o.left != nil:
-		return o.left.virtual
+	case o.lastBacklogged != nil:
+		return o.lastBacklogged.virtual
 	default:
 		return 0
 	}
 }
 
-// Remove takes a waiting entry out without serving it.
+// Remove takes out a waiting entry without serving it.
 func (o *Order[T]) Remove(e *Entry[T]) {
-	if e.at == nil {
+	if e.element == nil {
 		return
 	}
 	a := o.accounts[e.Org]
-	e.lane.queue.Remove(e.at)
+	e.lane.queue.Remove(e.element)
 	if e.lane.queue.Len() == 0 {
-		e.lane.passed = 0
+		e.lane.passedOver = 0
 	}
-	e.at, e.lane = nil, nil
+	e.element, e.lane = nil, nil
 	o.waiting--
 	a.waiting--
-	if a.waiting == 0 && a.heapAt >= 0 {
-		heap.Remove(&o.backlog, a.heapAt)
-		o.left = a
+	if a.waiting == 0 && a.heapIndex >= 0 {
+		heap.Remove(&o.backlog, a.heapIndex)
+		o.lastBacklogged = a
 	}
 }
 
-// SetAside moves a waiting entry to its organisation's lane for rare conditions.
+// SetAside moves a waiting entry to its organisation's lane for isolated entries.
 func (o *Order[T]) SetAside(e *Entry[T]) {
-	if e.at == nil || e.Aside {
+	if e.element == nil || e.Aside {
 		return
 	}
 	a := o.accounts[e.Org]
-	e.lane.queue.Remove(e.at)
+	e.lane.queue.Remove(e.element)
 	e.Aside = true
-	e.lane = &a.lanes[laneAside]
-	e.at = e.lane.queue.PushBack(e)
+	e.lane = &a.lanes[laneIsolated]
+	e.element = e.lane.queue.PushBack(e)
 }
 
-// Pick takes out the next entry in the fair order among those that usable accepts, nil
-// when there is none. The caller charges. An organisation none of whose first entries
-// is usable is passed over for this pick only: its work can't use what is free, and
-// holding the slot for it would idle capacity while others wait.
+// Pick removes and returns the next entry in the fair order that usable accepts, or nil
+// when there is none. The caller charges the service. An organisation is passed over for
+// this pick when none of its first entries is usable: holding the slot for it would idle
+// capacity while others wait.
 func (o *Order[T]) Pick(usable func(*Entry[T]) bool) *Entry[T] {
 	check := func(at *list.Element) bool { return usable(at.Value.(*Entry[T])) }
 	o.blocked = o.blocked[:0]
 	var found *Entry[T]
 	for len(o.backlog) > 0 {
 		a := o.backlog[0]
-		if at := a.find(check); at != nil {
+		if at := a.firstUsable(check); at != nil {
 			found = at.Value.(*Entry[T])
-			a.served(found.lane)
+			a.notePick(found.lane)
 			break
 		}
 		o.blocked = append(o.blocked, a)
@@ -133,20 +133,20 @@
 	return found
 }
 
-// Expect adds to what the organisation's running work is expected to take yet; negative
-// units say that it was delivered, or won't be.
+// Expect adds to the service that the organisation's running work is still expected to
+// take; negative units say that it was delivered, or won't be.
 //
-// Without it an organisation with the least counter would be given every slot that
-// frees until the first tokens of all that work arrive. With it charged to the counter
-// instead, a prediction that was too large is credited back later, and an organisation
-// that was lifted to the inflated counters starves until the others have caught up.
+// Without it the organisation with the smallest counter would get every free slot until
+// its requests deliver their first tokens. If the prediction were charged to the counter
+// instead, an overestimate would be credited back later, and an organisation that was
+// lifted to the inflated counters in the meantime would starve until the others caught up.
 func (o *Order[T]) Expect(org string, units wire.Units) {
 	if math.IsNaN(units) || math.IsInf(units, 0) {
 		return
 	}
 	a := o.account(org)
 	a.expected = max(a.expected+units/a.weight, 0)
-	o.moved(a)
+	o.reorder(a)
 }
 
 // Charge adds units of service to the organisation's counter; negative units are a credit.
@@ -156,22 +156,22 @@
 	}
 	a := o.account(org)
 	a.charge(units)
-	o.moved(a)
+	o.reorder(a)
 }
 
-// Merge raises the counter to virtual where that is larger. Merging is idempotent and
-// commutative, so doubled or reordered reports do no harm.
+// Merge raises the counter to virtual if that is larger. Merging is idempotent and
+// commutative, so duplicated or reordered reports do no harm.
 func (o *Order[T]) Merge(org string, virtual wire.Units) {
 	if math.IsNaN(virtual) || math.IsInf(virtual, 0) {
 		return
 	}
 	a := o.account(org)
 	a.virtual = max(a.virtual, virtual)
-	o.moved(a)
+	o.reorder(a)
 }
 
-func (o *Order[T]) moved(a *account) {
-	if a.heapAt >= 0 {
-		heap.Fix(&o.backlog, a.heapAt)
+func (o *Order[T]) reorder(a *account) {
+	if a.heapIndex >= 0 {
+		heap.Fix(&o.backlog, a.heapIndex)
 	}
 }
--- a/pkg/fair/reference_test.go
+++ b/pkg/fair/reference_test.go
@@ -10,15 +10,15 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// reference is the fair order written plainly: maps, slices and linear scans.
+// reference is a simple implementation of the fair order: maps, slices and linear scans.
 type reference struct {
 	virtual, floor map[string]float64
-	queue          map[string][lanes][]*Entry[int]
-	passed         map[string]*[lanes]int
-	left           string
+	queue          map[string][laneCount][]*Entry[int]
+	passedOver     map[string]*[laneCount]int
+	lastBacklogged string
 }
 
-// laneOf is written out, so that the reference doesn't share a fault with the order.
+// laneOf doesn't use Entry.laneIndex, so that the reference doesn't share its faults.
 func laneOf(e *Entry[int]) int {
 	switch {
 	case e.Aside:
@@ -35,7 +35,7 @@
 func newReference() *reference {
 	return &reference{
 		virtual: map[string]float64{}, floor: map[string]float64{},
-		queue: map[string][lanes][]*Entry[int]{}, passed: map[string]*[lanes]int{},
+		queue: map[string][laneCount][]*Entry[int]{}, passedOver: map[string]*[laneCount]int{},
 	}
 }
 
@@ -63,14 +63,14 @@
 		level := 0.0
 		if l := r.least(); l != "" {
 			level = r.virtual[l]
-		} else if r.left != "" {
-			level = r.virtual[r.left]
+		} else if r.lastBacklogged != "" {
+			level = r.virtual[r.lastBacklogged]
 		}
 		r.floor[e.Org] = level
 		r.virtual[e.Org] = max(r.virtual[e.Org], level)
 	}
-	if r.passed[e.Org] == nil {
-		r.passed[e.Org] = &[lanes]int{}
+	if r.passedOver[e.Org] == nil {
+		r.passedOver[e.Org] = &[laneCount]int{}
 	}
 	q := r.queue[e.Org]
 	q[laneOf(e)] = append(q[laneOf(e)], e)
@@ -81,11 +81,11 @@
 	q, i := r.queue[e.Org], laneOf(e)
 	q[i] = slices.DeleteFunc(slices.Clone(q[i]), func(x *Entry[int]) bool { return x == e })
 	if len(q[i]) == 0 {
-		r.passed[e.Org][i] = 0
+		r.passedOver[e.Org][i] = 0
 	}
 	r.queue[e.Org] = q
 	if r.waiting(e.Org) == 0 {
-		r.left = e.Org
+		r.lastBacklogged = e.Org
 	}
 }
 
@@ -96,22 +96,22 @@
 	}
 	first := -1
 	for i, q := range r.queue[org] {
-		if len(q) > 0 && (first < 0 || i >= laneUrgent && r.passed[org][i] >= maxPassed) {
+		if len(q) > 0 && (first < 0 || i >= laneUrgent && r.passedOver[org][i] >= maxPassedOver) {
 			first = i
 		}
 	}
 	for i, q := range r.queue[org] {
 		if i != first && len(q) > 0 {
-			r.passed[org][i]++
+			r.passedOver[org][i]++
 		}
 	}
-	r.passed[org][first] = 0
+	r.passedOver[org][first] = 0
 	e := r.queue[org][first][0]
 	r.remove(e)
 	return e
 }
 
-// The order agrees with the reference under any mix of calls.
+// The order agrees with the reference implementation under any sequence of calls.
 func TestOrderAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o, ref := New[int](), newReference()
@@ -121,7 +121,7 @@
 			"push": func(t *rapid.T) {
 				e := &Entry[int]{
 					Org: orgs.Draw(t, "org"), Class: wire.Class(rapid.IntRange(0, 3).Draw(t, "class")),
-					Aside: rapid.IntRange(0, 9).Draw(t, "aside") == 0, Value: len(all),
+					Aside: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, Value: len(all),
 				}
 				ref.push(e)
 				o.Push(e)
@@ -157,31 +157,31 @@
 				for org := range ref.queue {
 					waiting += ref.waiting(org)
 					if o.Waiting(org) != ref.waiting(org) || o.Virtual(org) != ref.virtual[org] {
-						t.Fatalf("%s: %d at %v, want %d at %v", org,
+						t.Fatalf("%s: %d waiting, counter %v; want %d waiting, counter %v", org,
 							o.Waiting(org), o.Virtual(org), ref.waiting(org), ref.virtual[org])
 					}
 				}
 				if o.Len() != waiting {
-					t.Fatalf("%d waiting, want %d", o.Len(), waiting)
+					t.Fatalf("%d entries waiting, want %d", o.Len(), waiting)
 				}
 			},
 		})
 	})
 }
 
-// Merging gives the maximum in whatever order, and however often, the values come.
+// Merging gives the maximum regardless of order and repetition.
 func TestMergeIsMaximum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		values := rapid.SliceOfN(rapid.Float64Range(0, 1e9), 1, 20).Draw(t, "values")
-		doubled := rapid.Permutation(append(slices.Clone(values), values...)).Draw(t, "doubled")
+		repeated := rapid.Permutation(append(slices.Clone(values), values...)).Draw(t, "repeated")
 		o := New[int]()
-		for _, v := range doubled {
+		for _, v := range repeated {
 			o.Merge("a", v)
 			o.Merge("a", math.NaN())
 			o.Merge("a", math.Inf(1))
 		}
 		if o.Virtual("a") != slices.Max(values) {
-			t.Fatalf("%v, want %v", o.Virtual("a"), slices.Max(values))
+			t.Fatalf("counter %v, want the maximum %v", o.Virtual("a"), slices.Max(values))
 		}
 	})
 }
--- a/pkg/fair/view.go
+++ b/pkg/fair/view.go
@@ -2,7 +2,8 @@
 
 import "github.com/flamingowind/flamingowind/pkg/wire"
 
-// SetWeight sets the organisation's share against the others; weights of 0 or less are 1.
+// SetWeight sets the organisation's share relative to the others; a weight of 0 or less
+// counts as 1.
 func (o *Order[T]) SetWeight(org string, weight float64) {
 	if !(weight > 0) {
 		weight = 1
@@ -10,10 +11,10 @@
 	a := o.account(org)
 	a.expected *= a.weight / weight
 	a.weight = weight
-	o.moved(a)
+	o.reorder(a)
 }
 
-// Weight returns the organisation's weight.
+// Weight returns the organisation's weight; 1 for an unknown one.
 func (o *Order[T]) Weight(org string) float64 {
 	if a := o.accounts[org]; a != nil {
 		return a.weight
@@ -21,14 +22,14 @@
 	return 1
 }
 
-// Forget drops an organisation that has nothing waiting, with its counter.
+// Forget removes an organisation and its counter unless entries of it wait.
 func (o *Order[T]) Forget(org string) {
 	if a := o.accounts[org]; a != nil && a.waiting == 0 {
 		delete(o.accounts, org)
 	}
 }
 
-// Orgs calls f for each organisation that has a counter, in no certain order.
+// Orgs calls f for each organisation that has a counter, in no particular order.
 func (o *Order[T]) Orgs(f func(org string)) {
 	for org := range o.accounts {
 		f(org)
@@ -42,7 +43,7 @@
 	}
 }
 
-// Virtual returns the organisation's counter.
+// Virtual returns the organisation's virtual counter.
 func (o *Order[T]) Virtual(org string) wire.Units {
 	if a := o.accounts[org]; a != nil {
 		return a.virtual
@@ -50,7 +51,8 @@
 	return 0
 }
 
-// Expected returns what the organisation's running work is expected to take yet.
+// Expected returns the service that the organisation's running work is still expected to
+// take.
 func (o *Order[T]) Expected(org string) wire.Units {
 	if a := o.accounts[org]; a != nil {
 		return a.expected * a.weight
@@ -77,15 +79,15 @@
 	return len(o.backlog) > 1 || len(o.backlog) == 1 && o.backlog[0].org != org
 }
 
-// Gap returns the difference between the largest and the least counter of the
+// Gap returns the difference between the largest and the smallest counter of the
 // backlogged organisations.
 func (o *Order[T]) Gap() wire.Units {
 	if len(o.backlog) == 0 {
 		return 0
 	}
-	most := o.backlog[0].virtual
+	largest := o.backlog[0].virtual
 	for _, a := range o.backlog {
-		most = max(most, a.virtual)
+		largest = max(largest, a.virtual)
 	}
-	return most - o.backlog[0].virtual
+	return largest - o.backlog[0].virtual
 }
--- a/pkg/limit/doc.go
+++ b/pkg/limit/doc.go
@@ -1,8 +1,9 @@
-// Package limit adapts the work in progress on one upstream and takes dead upstreams out.
+// Package limit adapts the concurrency limit of one upstream to its latency and ejects
+// upstreams that fail.
 //
-// An engine admits whatever comes, and a queue inside an engine is a queue without
-// fairness. The limit therefore stays near the knee: it grows while it binds and the
-// measured times stay near their baseline, and shrinks when they rise well over it
-// (additive increase, multiplicative decrease, as in TCP). Times come from the routers'
-// own measurements; an engine's load report lags.
+// An engine accepts any number of requests and queues them inside, where the fair order
+// has no effect. The limit therefore stays near the knee of the latency curve: it grows
+// while it is reached and latency stays near its baseline, and shrinks when latency rises
+// well above it (additive increase, multiplicative decrease, as in TCP). Latency is what
+// the routers measure; an engine's own load report lags behind.
 package limit
--- a/pkg/limit/engine_test.go
+++ b/pkg/limit/engine_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Story: an engine runs eight requests at once; more wait inside, where the fair order
-// doesn't reach. The limit may go up to 32. It tries more now and then, and must neither
-// leave slots idle after a try nor keep a queue inside. Work that was granted before a
-// change says nothing about it, and ends about a second later.
+// An engine runs eight requests at once and queues any more inside, where the fair order
+// has no effect. The limit may grow up to 32. When it probes for more slots it must neither
+// leave slots idle afterwards nor keep a queue inside the engine. Requests that were
+// granted before a change of the limit end about a second later and must not count.
 func TestLimitStaysAtTheEnginesSlots(t *testing.T) {
 	const slots, rest = 8, 860
 	l := New(slots, 32)
-	free := make([]int, slots) // when each slot of the engine is free, in ms
+	free := make([]int, slots) // when each slot of the engine becomes free, in ms
 	var granted, starts, ends []int
 	busy, queued, total := 0, 0, 0
 	for ms := 0; ms < 120_000; ms++ {
--- a/pkg/limit/health.go
+++ b/pkg/limit/health.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Bounds of the time for which a dead upstream gets no work.
+// Bounds of the time for which an ejected upstream gets no work.
 const (
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 30 * time.Second
 )
 
-// maxFailures is the number of failures in a row, from more than one organisation, that
-// take an upstream out. One organisation's bad requests alone never do.
+// maxFailures is the number of consecutive failures, from more than one organisation,
+// that ejects an upstream. The bad requests of a single organisation never do.
 const maxFailures = 8
 
-// health decides whether an upstream is used: up, down until a time, or probed.
+// health decides whether an upstream is used: it is up, ejected for a backoff, or probed.
 type health struct {
 	down    bool
 	until   time.Time
 	backoff time.Duration
-	// upSince is when the upstream last came back. Work granted before that ran on the
-	// earlier life; its death is known already.
+	// upSince is when the upstream last recovered. Work granted before that ran before the
+	// crash, which has been counted already.
 	upSince  time.Time
 	failures int
 	failOrg  string
-	mixed    bool // the failures in a row came from more than one organisation
+	mixed    bool // the consecutive failures came from several organisations
 }
 
-// died takes the upstream out. All the work that ran on a dying upstream reports the
-// same death, each in its own message: only the first counts, or one crash under eight
-// requests would double the backoff eight times.
+// eject takes the upstream out of use for a backoff. Each request that ran on a crashed
+// upstream reports the crash separately. Only the first report counts, or one crash under
+// eight requests would double the backoff eight times.
 func (h *health) died(granted, now time.Time) {
 	if granted.Before(h.upSince) || (h.down && granted.Before(h.until)) {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// served brings a probed upstream back. The backoff halves and doesn't vanish, so that
-// an upstream which dies again at once isn't probed ever faster.
+// recordSuccess brings a probed upstream back. The backoff is halved and not reset, so
+// that an upstream which crashes again at once isn't probed at ever shorter intervals.
 func (h *health) served(granted, now time.Time) {
 	h.failures, h.mixed = 0, false
 	if h.down && !granted.Before(h.until) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// probing says that the backoff is over and no work has been served since.
+// probing reports whether the backoff is over and no request has succeeded since.
 func (h *health) probing(now time.Time) bool { return h.down && !now.Before(h.until) }
 
 func (h *health) out(now time.Time) bool { return h.down && now.Before(h.until) }
--- a/pkg/limit/limiter.go
+++ b/pkg/limit/limiter.go
@@ -6,31 +6,31 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// minWindow is the least number of samples a decision rests on: a single slow answer
-// is noise.
+// minSamples is the smallest number of samples in a window: a single slow response is
+// noise.
 const minWindow = 8
 
 const (
-	// shrink is the multiplicative decrease.
+	// decreaseFactor is the multiplicative decrease of the limit.
 	shrink = 0.85
-	// minPatience and maxPatience bound the windows that pass after a growth was undone
-	// before the next one is tried.
+	// minGrowthDelay and maxGrowthDelay bound the number of windows between an undone growth
+	// and the next attempt.
 	minPatience = 4
 	maxPatience = 64
 )
 
-// Sample is the end of one piece of work.
+// Sample describes one request that ended.
 type Sample struct {
 	Org     string
 	Outcome wire.Outcome
-	FirstMs uint32 // 0 when not measured
-	StepUs  uint32 // 0 when not measured
+	FirstMs uint32 // time to first token; 0 when not measured
+	StepUs  uint32 // mean time between tokens; 0 when not measured
 	Granted time.Time
-	// Running is the work in progress there just before the end.
+	// Running is the number of running requests on the upstream just before the end.
 	Running int
 }
 
-// Limiter limits the work in progress of one upstream.
+// Limiter limits the concurrency of one upstream.
 type Limiter struct {
 	slots    int
 	maxSlots int
@@ -39,10 +39,10 @@
 	step     track
 	samples  int
 	bound    bool // the limit was reached in this window
-	grew     bool // the last change was a growth
+	grew     bool // the last change of the limit was a growth
 	changed  time.Time
-	patience int // windows to let pass after the next growth that is undone
-	wait     int // windows to let pass yet
+	patience int // windows to wait after the last undone growth
+	wait     int // windows left to wait before the limit may grow
 	health   health
 }
 
@@ -54,7 +54,7 @@
 	return l
 }
 
-// Configure changes the bounds; what was learnt is kept within the new ones.
+// Configure changes the bounds. The limit reached so far is kept if the new bounds allow it.
 func (l *Limiter) Configure(slots, maxSlots int) {
 	if l.slots == slots && l.maxSlots == maxSlots {
 		return
@@ -67,18 +67,18 @@
 	l.bind()
 }
 
-// Fixed says that the limit doesn't adapt.
+// Fixed reports whether the limit doesn't adapt.
 func (l *Limiter) Fixed() bool { return l.maxSlots == 0 || l.slots == 0 }
 
-// bind keeps the limit within its bounds. The lower one is 1: noise must never take an
-// upstream out, since with no work there would be no sample to bring it back.
+// clamp keeps the limit within its bounds. The lower bound is 1: noise must never take
+// an upstream out of use, since without work there would be no samples to bring it back.
 func (l *Limiter) bind() {
 	if !l.Fixed() {
 		l.limit = min(max(l.limit, 1), float64(l.maxSlots))
 	}
 }
 
-// Limit returns the number of slots: 0 while the upstream is taken out, 1 while it is
+// Limit returns the number of slots: 0 while the upstream is ejected, 1 while it is
 // probed.
 func (l *Limiter) Limit(now time.Time) int {
 	switch {
@@ -91,18 +91,19 @@
 	}
 }
 
-// Probing says that a single piece of work is tried on an upstream that was taken out.
+// Probing reports whether an ejected upstream may now run a single request as a probe.
 func (l *Limiter) Probing(now time.Time) bool { return l.health.probing(now) }
 
-// Slow takes the upstream out like a death: it runs what it has, and is probed later.
+// Eject takes the upstream out of use as after a crash: requests that run there go on,
+// and the upstream is probed after the backoff.
 func (l *Limiter) Slow(now time.Time) { l.health.died(now, now) }
 
-// Retry returns when an upstream that is taken out may be probed.
+// ProbeAt returns when an ejected upstream may be probed; false when it isn't ejected.
 func (l *Limiter) Retry(now time.Time) (at time.Time, out bool) {
 	return l.health.until, l.health.out(now)
 }
 
-// Ended takes in the end of one piece of work.
+// Record records the end of a request.
 func (l *Limiter) Ended(s Sample, now time.Time) {
 	switch s.Outcome {
 	case wire.OutcomeDied, wire.OutcomeUnreachable:
@@ -115,9 +116,9 @@
 	}
 }
 
-// measured takes in a sample. Work that was granted before the limit's last change is
-// left out: it ran under the old limit and says nothing about the new one. Counted, it
-// made the limit grow on beyond the knee, and later shrink far under it.
+// observe adds a sample to the window. Requests granted before the last change of the
+// limit are left out: they ran under the old limit. Counting them made the limit grow
+// past the knee of the latency curve and shrink far below it later.
 func (l *Limiter) measured(s Sample, now time.Time) {
 	if s.Granted.Before(l.changed) {
 		return
@@ -131,8 +132,8 @@
 	}
 }
 
-// decide closes a window. The limit grows only when it was reached: growth without
-// need would leave it far over the knee when the load comes.
+// adjust closes a window and changes the limit. The limit grows only when it was reached:
+// otherwise it would be far above the knee when the load rises.
 func (l *Limiter) decide(now time.Time) {
 	slowFirst, slowStep := l.first.close(), l.step.close()
 	slow, before := slowFirst || slowStep, l.limit
@@ -154,9 +155,10 @@
 	l.samples, l.bound = 0, false
 }
 
-// undo takes the last growth back. The knee is known then: it is tried again after some
-// windows, after more of them each time. A multiplicative decrease would idle slots of an
-// engine that is as fast as before, and a try at each window keeps a queue inside it.
+// undoGrowth takes back the last growth, which has shown where the knee is. The next
+// attempt follows after a number of windows that doubles each time. A multiplicative
+// decrease would idle slots of an engine that is as fast as before, and an attempt in each
+// window would keep a queue inside the engine.
 func (l *Limiter) undo() {
 	l.limit--
 	l.patience = min(max(2*l.patience, minPatience), maxPatience)
--- a/pkg/limit/limiter_test.go
+++ b/pkg/limit/limiter_test.go
@@ -15,7 +15,7 @@
 	return Sample{Outcome: wire.OutcomeServed, FirstMs: uint32(firstMs), StepUs: 10_000, Granted: at, Running: running}
 }
 
-// The limit stays within [1, maxSlots] under any samples, or at 0 while taken out.
+// The limit stays within [1, maxSlots] for any samples, or at 0 while the upstream is ejected.
 func TestLimitBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 40).Draw(t, "most")
@@ -43,8 +43,8 @@
 	})
 }
 
-// Story: times vary by half to either side because prompts vary. A limit that takes this
-// for overload shrinks and idles the engine. It has to reach its bound all the same.
+// Latency varies by half in both directions because prompts vary. A limit that shrinks on
+// this noise idles the engine; it must still reach its upper bound.
 func TestNoiseDoesNotShrink(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(8, 16)
@@ -58,8 +58,9 @@
 	})
 }
 
-// Story: an engine queues inside from 12 requests on. Its first tokens get later with
-// each further one, and there the fair order doesn't reach. The limit stays near 12.
+// An engine queues requests inside once more than 12 run, and time to first token rises
+// with each further one. The limit must stay near 12, since the fair order has no effect on
+// a queue inside the engine.
 func TestLimitFindsKnee(t *testing.T) {
 	const knee = 12
 	l := New(4, 64)
@@ -76,8 +77,8 @@
 	}
 }
 
-// Story: an engine becomes three times slower for good. At first its limit shrinks, then
-// the new speed is taken for normal; it isn't held at one slot for ever.
+// An engine becomes three times slower permanently. Its limit shrinks at first; then the
+// new latency becomes the baseline, and the limit must not stay at one slot.
 func TestSlowUpstreamShrinksThenRecovers(t *testing.T) {
 	l := New(8, 8)
 	run := func(n int, ms float64) (least int) {
@@ -98,9 +99,9 @@
 	}
 }
 
-// Story: an engine crashes under eight requests, is away for a while, and crashes again
-// when probed. Eight reports of one crash are one death; each further death doubles the
-// wait; a probe is one request, and its success brings all slots back.
+// An engine crashes under eight requests, stays unreachable for a while, and crashes again
+// when probed. Eight reports of one crash count once; each further crash doubles the
+// backoff; a probe is a single request, and its success restores all slots.
 func TestDeathAndProbe(t *testing.T) {
 	l := New(8, 0)
 	died := Sample{Outcome: wire.OutcomeDied, Granted: epoch}
@@ -123,14 +124,14 @@
 	}
 	now = now.Add(maxBackoff)
 	l.Ended(served(100, 1, now), now)
-	l.Ended(died, now) // a late word of the first death
+	l.Ended(died, now) // a late report of the first crash
 	if l.Limit(now) != 8 {
 		t.Fatalf("limit %d after the probe", l.Limit(now))
 	}
 }
 
-// Story: one organisation's requests all fail by their own fault. Taking the upstream out
-// for them would punish the others; failures of several organisations in a row do count.
+// All requests of one organisation fail through their own fault. Ejecting the upstream
+// would punish the others; consecutive failures of several organisations do eject it.
 func TestFailuresOfOneOrganisation(t *testing.T) {
 	l := New(8, 0)
 	fail := func(org string) { l.Ended(Sample{Org: org, Outcome: wire.OutcomeFailed, Granted: epoch}, epoch) }
