--- a/pkg/limit/engine_test.go
+++ b/pkg/limit/engine_test.go
@@ -10,11 +10,11 @@
 // leave slots idle afterwards nor keep a queue inside the engine. Requests that were
 // granted before a change of the limit end about a second later and must not count.
 func TestLimitStaysAtTheEnginesSlots(t *testing.T) {
-	const slots, rest = 8, 860
+	const slots, serviceMs = 8, 860
 	l := New(slots, 32)
 	free := make([]int, slots) // when each slot of the engine becomes free, in ms
 	var granted, starts, ends []int
-	busy, queued, total := 0, 0, 0
+	busy, queued, steps := 0, 0, 0
 	for ms := 0; ms < 120_000; ms++ {
 		at := epoch.Add(time.Duration(ms) * time.Millisecond)
 		for i := 0; i < len(ends); i++ {
@@ -23,27 +23,27 @@
 			}
 			first := starts[i] + 20 - granted[i]
 			l.Ended(served(float64(first), len(ends), epoch.Add(time.Duration(granted[i])*time.Millisecond)), at)
-			granted, starts, ends = drop(granted, i), drop(starts, i), drop(ends, i)
+			granted, starts, ends = removeAt(granted, i), removeAt(starts, i), removeAt(ends, i)
 			i--
 		}
 		for len(ends) < l.Limit(at) {
-			s := earliest(free)
+			s := earliestFree(free)
 			start := max(free[s], ms)
-			free[s] = start + rest/2 + (len(ends)*7919+ms*31)%rest
+			free[s] = start + serviceMs/2 + (len(ends)*7919+ms*31)%serviceMs
 			granted, starts, ends = append(granted, ms), append(starts, start), append(ends, free[s])
 		}
 		busy += min(len(ends), slots)
 		queued += max(len(ends)-slots, 0)
-		total++
+		steps++
 	}
-	if share, queue := float64(busy)/slots/float64(total), float64(queued)/float64(total); share < 0.98 || queue > 0.5 {
-		t.Fatalf("%.3f of the slots busy, %.2f requests wait inside the engine", share, queue)
+	if share, queue := float64(busy)/slots/float64(steps), float64(queued)/float64(steps); share < 0.98 || queue > 0.5 {
+		t.Fatalf("%.3f of the slots busy, %.2f requests queued inside the engine on average", share, queue)
 	}
 }
 
-func drop(list []int, i int) []int { return append(list[:i], list[i+1:]...) }
+func removeAt(list []int, i int) []int { return append(list[:i], list[i+1:]...) }
 
-func earliest(free []int) int {
+func earliestFree(free []int) int {
 	best := 0
 	for i := range free {
 		if free[i] < free[best] {
--- a/pkg/limit/limiter.go
+++ b/pkg/limit/limiter.go
@@ -8,15 +8,15 @@
 
 // minSamples is the smallest number of samples in a window: a single slow response is
 // noise.
-const minWindow = 8
+const minSamples = 8
 
 const (
 	// decreaseFactor is the multiplicative decrease of the limit.
-	shrink = 0.85
+	decreaseFactor = 0.85
 	// minGrowthDelay and maxGrowthDelay bound the number of windows between an undone growth
 	// and the next attempt.
-	minPatience = 4
-	maxPatience = 64
+	minGrowthDelay = 4
+	maxGrowthDelay = 64
 )
 
 // Sample describes one request that ended.
@@ -32,18 +32,18 @@
 
 // Limiter limits the concurrency of one upstream.
 type Limiter struct {
-	slots    int
-	maxSlots int
-	limit    float64
-	first    track
-	step     track
-	samples  int
-	bound    bool // the limit was reached in this window
-	grew     bool // the last change of the limit was a growth
-	changed  time.Time
-	patience int // windows to wait after the last undone growth
-	wait     int // windows left to wait before the limit may grow
-	health   health
+	slots         int
+	maxSlots      int
+	limit         float64
+	firstToken    latencyWindow
+	tokenInterval latencyWindow
+	samples       int
+	saturated     bool // the limit was reached in this window
+	lastGrew      bool // the last change of the limit was a growth
+	changedAt     time.Time
+	growthDelay   int // windows to wait after the last undone growth
+	windowsToWait int // windows left to wait before the limit may grow
+	health        health
 }
 
 // New returns a limiter that starts at slots and stays within [1, maxSlots]; with a
@@ -64,7 +64,7 @@
 	if fresh || l.Fixed() {
 		l.limit = float64(l.slots)
 	}
-	l.bind()
+	l.clamp()
 }
 
 // Fixed reports whether the limit doesn't adapt.
@@ -72,7 +72,7 @@
 
 // clamp keeps the limit within its bounds. The lower bound is 1: noise must never take
 // an upstream out of use, since without work there would be no samples to bring it back.
-func (l *Limiter) bind() {
+func (l *Limiter) clamp() {
 	if !l.Fixed() {
 		l.limit = min(max(l.limit, 1), float64(l.maxSlots))
 	}
@@ -82,7 +82,7 @@
 // probed.
 func (l *Limiter) Limit(now time.Time) int {
 	switch {
-	case l.health.out(now):
+	case l.health.ejected(now):
 		return 0
 	case l.health.probing(now):
 		return min(1, int(l.limit))
@@ -94,73 +94,73 @@
 // Probing reports whether an ejected upstream may now run a single request as a probe.
 func (l *Limiter) Probing(now time.Time) bool { return l.health.probing(now) }
 
-// Eject takes the upstream out of use as after a crash: requests that run there go on,
+// Slow takes the upstream out of use as after a crash: requests that run there go on,
 // and the upstream is probed after the backoff.
-func (l *Limiter) Slow(now time.Time) { l.health.died(now, now) }
+func (l *Limiter) Slow(now time.Time) { l.health.eject(now, now) }
 
-// ProbeAt returns when an ejected upstream may be probed; false when it isn't ejected.
+// Retry returns when an ejected upstream may be probed; false when it isn't ejected.
 func (l *Limiter) Retry(now time.Time) (at time.Time, out bool) {
-	return l.health.until, l.health.out(now)
+	return l.health.downUntil, l.health.ejected(now)
 }
 
-// Record records the end of a request.
+// Ended records the end of a request.
 func (l *Limiter) Ended(s Sample, now time.Time) {
 	switch s.Outcome {
 	case wire.OutcomeDied, wire.OutcomeUnreachable:
-		l.health.died(s.Granted, now)
+		l.health.eject(s.Granted, now)
 	case wire.OutcomeFailed:
-		l.health.failed(s.Org, s.Granted, now)
+		l.health.recordFailure(s.Org, s.Granted, now)
 	case wire.OutcomeServed:
-		l.health.served(s.Granted, now)
-		l.measured(s, now)
+		l.health.recordSuccess(s.Granted, now)
+		l.observe(s, now)
 	}
 }
 
 // observe adds a sample to the window. Requests granted before the last change of the
-// limit are left out: they ran under the old limit. Counting them made the limit grow
+// limit are left out: they ran under the old limit. Counting them would make the limit grow
 // past the knee of the latency curve and shrink far below it later.
-func (l *Limiter) measured(s Sample, now time.Time) {
-	if s.Granted.Before(l.changed) {
+func (l *Limiter) observe(s Sample, now time.Time) {
+	if s.Granted.Before(l.changedAt) {
 		return
 	}
-	l.first.add(float64(s.FirstMs))
-	l.step.add(float64(s.StepUs))
+	l.firstToken.add(float64(s.FirstMs))
+	l.tokenInterval.add(float64(s.StepUs))
 	l.samples++
-	l.bound = l.bound || s.Running >= int(l.limit)
-	if l.samples >= max(minWindow, int(l.limit)) {
-		l.decide(now)
+	l.saturated = l.saturated || s.Running >= int(l.limit)
+	if l.samples >= max(minSamples, int(l.limit)) {
+		l.adjust(now)
 	}
 }
 
 // adjust closes a window and changes the limit. The limit grows only when it was reached:
 // otherwise it would be far above the knee when the load rises.
-func (l *Limiter) decide(now time.Time) {
-	slowFirst, slowStep := l.first.close(), l.step.close()
-	slow, before := slowFirst || slowStep, l.limit
+func (l *Limiter) adjust(now time.Time) {
+	slowFirstToken, slowInterval := l.firstToken.close(), l.tokenInterval.close()
+	slow, before := slowFirstToken || slowInterval, l.limit
 	switch {
 	case l.Fixed():
-	case slow && l.grew:
-		l.undo()
+	case slow && l.lastGrew:
+		l.undoGrowth()
 	case slow:
-		l.limit *= shrink
-	case l.wait > 0:
-		l.wait--
-	case l.bound:
+		l.limit *= decreaseFactor
+	case l.windowsToWait > 0:
+		l.windowsToWait--
+	case l.saturated:
 		l.limit++
 	}
-	l.bind()
+	l.clamp()
 	if l.limit != before {
-		l.grew, l.changed = l.limit > before, now
+		l.lastGrew, l.changedAt = l.limit > before, now
 	}
-	l.samples, l.bound = 0, false
+	l.samples, l.saturated = 0, false
 }
 
 // undoGrowth takes back the last growth, which has shown where the knee is. The next
 // attempt follows after a number of windows that doubles each time. A multiplicative
 // decrease would idle slots of an engine that is as fast as before, and an attempt in each
 // window would keep a queue inside the engine.
-func (l *Limiter) undo() {
+func (l *Limiter) undoGrowth() {
 	l.limit--
-	l.patience = min(max(2*l.patience, minPatience), maxPatience)
-	l.wait = l.patience
+	l.growthDelay = min(max(2*l.growthDelay, minGrowthDelay), maxGrowthDelay)
+	l.windowsToWait = l.growthDelay
 }
--- a/pkg/limit/limiter_test.go
+++ b/pkg/limit/limiter_test.go
@@ -18,26 +18,26 @@
 // The limit stays within [1, maxSlots] for any samples, or at 0 while the upstream is ejected.
 func TestLimitBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 40).Draw(t, "most")
-		l := New(rapid.IntRange(1, 40).Draw(t, "slots"), most)
+		maxSlots := rapid.IntRange(1, 40).Draw(t, "maxSlots")
+		l := New(rapid.IntRange(1, 40).Draw(t, "slots"), maxSlots)
 		now := epoch
 		t.Repeat(map[string]func(*rapid.T){"ended": func(t *rapid.T) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
-			granted := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "ago")) * time.Millisecond)
-			for range rapid.IntRange(1, 50).Draw(t, "times") {
+			granted := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "grantedMsAgo")) * time.Millisecond)
+			for range rapid.IntRange(1, 50).Draw(t, "requests") {
 				l.Ended(Sample{
 					Outcome: wire.Outcome(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3, 4}).Draw(t, "outcome")),
-					FirstMs: rapid.Uint32().Draw(t, "first"), StepUs: rapid.Uint32().Draw(t, "step"),
+					FirstMs: rapid.Uint32().Draw(t, "firstMs"), StepUs: rapid.Uint32().Draw(t, "stepUs"),
 					Org: "a", Granted: granted, Running: rapid.IntRange(0, 50).Draw(t, "running"),
 				}, now)
 			}
 			n := l.Limit(now)
-			if at, out := l.Retry(now); out {
+			if at, ejected := l.Retry(now); ejected {
 				if n != 0 || at.Sub(now) > maxBackoff {
-					t.Fatalf("limit %d, out for %v", n, at.Sub(now))
+					t.Fatalf("limit %d, ejected for %v; want 0 and at most the maximum backoff", n, at.Sub(now))
 				}
-			} else if n < 1 || n > most {
-				t.Fatalf("limit %d not in [1, %d]", n, most)
+			} else if n < 1 || n > maxSlots {
+				t.Fatalf("limit %d not in [1, %d]", n, maxSlots)
 			}
 		}})
 	})
@@ -81,21 +81,21 @@
 // new latency becomes the baseline, and the limit must not stay at one slot.
 func TestSlowUpstreamShrinksThenRecovers(t *testing.T) {
 	l := New(8, 8)
-	run := func(n int, ms float64) (least int) {
-		least = 8
+	run := func(n int, ms float64) (lowest int) {
+		lowest = 8
 		for range n {
 			l.Ended(served(ms, l.Limit(epoch), epoch), epoch)
-			least = min(least, l.Limit(epoch))
+			lowest = min(lowest, l.Limit(epoch))
 		}
-		return least
+		return lowest
 	}
 	run(200, 100)
-	if least := run(200, 300); least > 4 {
-		t.Fatalf("limit %d on a slow engine", least)
+	if lowest := run(200, 300); lowest > 4 {
+		t.Fatalf("limit %d on a slow engine", lowest)
 	}
 	run(2000, 300)
 	if l.Limit(epoch) != 8 {
-		t.Fatalf("limit %d in the end", l.Limit(epoch))
+		t.Fatalf("limit %d after the latency stayed constant, want 8", l.Limit(epoch))
 	}
 }
 
@@ -104,29 +104,29 @@
 // backoff; a probe is a single request, and its success restores all slots.
 func TestDeathAndProbe(t *testing.T) {
 	l := New(8, 0)
-	died := Sample{Outcome: wire.OutcomeDied, Granted: epoch}
+	crash := Sample{Outcome: wire.OutcomeDied, Granted: epoch}
 	now := epoch
 	for range 8 {
-		l.Ended(died, now)
+		l.Ended(crash, now)
 	}
 	wait := minBackoff
 	for range 10 {
-		at, out := l.Retry(now)
-		if !out || l.Limit(now) != 0 || at.Sub(now) != wait {
-			t.Fatalf("out %v for %v, want %v", out, at.Sub(now), wait)
+		at, ejected := l.Retry(now)
+		if !ejected || l.Limit(now) != 0 || at.Sub(now) != wait {
+			t.Fatalf("ejected %v, backoff %v; want ejected, backoff %v", ejected, at.Sub(now), wait)
 		}
 		now = at
 		if l.Limit(now) != 1 || !l.Probing(now) {
-			t.Fatalf("limit %d at the probe", l.Limit(now))
+			t.Fatalf("limit %d during the probe, want 1", l.Limit(now))
 		}
 		l.Ended(Sample{Outcome: wire.OutcomeDied, Granted: now}, now)
 		wait = min(2*wait, maxBackoff)
 	}
 	now = now.Add(maxBackoff)
 	l.Ended(served(100, 1, now), now)
-	l.Ended(died, now) // a late report of the first crash
+	l.Ended(crash, now) // a late report of the first crash
 	if l.Limit(now) != 8 {
-		t.Fatalf("limit %d after the probe", l.Limit(now))
+		t.Fatalf("limit %d after a successful probe, want 8", l.Limit(now))
 	}
 }
 
@@ -139,10 +139,10 @@
 		fail("a")
 	}
 	if l.Limit(epoch) != 8 {
-		t.Fatal("one organisation took the upstream out")
+		t.Fatal("failures of one organisation ejected the upstream")
 	}
 	fail("b")
 	if l.Limit(epoch) != 0 {
-		t.Fatal("an upstream that fails for all stays in")
+		t.Fatal("failures of several organisations didn't eject the upstream")
 	}
 }
