--- a/pkg/claimant/admission.go
+++ b/pkg/claimant/admission.go
@@ -9,92 +9,92 @@
 const (
 	minRetry     = 100 * time.Millisecond
 	maxRetry     = 30 * time.Second
-	unknownRetry = time.Second // nothing has drained lately: the rate is unknown
+	unknownRetry = time.Second // nothing has left the queue lately: the rate is unknown
 	// maxIdleQueues bounds how many idle organisations' drain rates are remembered.
 	maxIdleQueues = 4096
 )
 
-// gate bounds the waiting requests. It stands before the duty's channel, in the
-// caller's goroutine: a flood is turned away without costing the duty anything, so
-// the others' requests aren't delayed by it.
-type gate struct {
-	mu    sync.Mutex
-	max   int
-	limit func(org string) int
-	total queue
-	orgs  map[string]*queue
+// admission bounds the waiting requests. It runs in the caller's goroutine, before the
+// event loop's channel: a flood is refused without any work of the event loop, so it
+// doesn't delay other requests.
+type admission struct {
+	mu         sync.Mutex
+	maxWaiting int
+	orgLimit   func(org string) int
+	total      queue
+	orgs       map[string]*queue
 }
 
-// queue counts waiting requests and their departures.
+// queue counts waiting requests and the rate at which they leave.
 type queue struct {
-	waiting int
-	drained rate
+	waiting   int
+	drainRate rate
 }
 
-func newGate(limit int, perOrg func(string) int) *gate {
-	return &gate{max: limit, limit: perOrg, orgs: make(map[string]*queue)}
+func newAdmission(limit int, perOrg func(string) int) *admission {
+	return &admission{maxWaiting: limit, orgLimit: perOrg, orgs: make(map[string]*queue)}
 }
 
-// enter admits a request, or refuses it with the time to come back.
+// enter admits a request, or refuses it with the time after which to retry.
 //
-// An organisation may hold at most as many places as are free, besides its own bound.
-// With the bare total, a few flooding organisations would fill it and all others
-// would be refused; this way places stay free for those that hold few.
-func (g *gate) enter(org string, now time.Time) (retry time.Duration, ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	q := g.queue(org)
-	if q.waiting >= min(g.limit(org), g.max-g.total.waiting) {
+// Besides its own limit an organisation may have at most as many requests waiting as
+// places are free. With the total limit alone a few flooding organisations would fill the
+// queue and all others would be refused; this way places stay free for the others.
+func (a *admission) enter(org string, now time.Time) (retry time.Duration, ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	q := a.queue(org)
+	if q.waiting >= min(a.orgLimit(org), a.maxWaiting-a.total.waiting) {
 		return q.retry(now), false
 	}
 	q.waiting++
-	g.total.waiting++
+	a.total.waiting++
 	return 0, true
 }
 
-// leave ends the stay of a request that entered.
-func (g *gate) leave(org string, granted bool, now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	q := g.queue(org)
+// leave counts the departure of an admitted request.
+func (a *admission) leave(org string, granted bool, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	q := a.queue(org)
 	q.waiting--
-	g.total.waiting--
+	a.total.waiting--
 	if granted {
-		q.drained.add(now)
-		g.total.drained.add(now)
+		q.drainRate.add(now)
+		a.total.drainRate.add(now)
 	}
 }
 
-// retryAfter is the time in which the organisation's queue here drains.
-func (g *gate) retryAfter(org string, now time.Time) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.queue(org).retry(now)
+// retryAfter returns the time in which the organisation's queue is expected to drain.
+func (a *admission) retryAfter(org string, now time.Time) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.queue(org).retry(now)
 }
 
-func (g *gate) queue(org string) *queue {
-	q, ok := g.orgs[org]
+func (a *admission) queue(org string) *queue {
+	q, ok := a.orgs[org]
 	if !ok {
-		g.dropIdle()
+		a.dropIdle()
 		q = new(queue)
-		g.orgs[org] = q
+		a.orgs[org] = q
 	}
 	return q
 }
 
-func (g *gate) dropIdle() {
-	if len(g.orgs) < maxIdleQueues {
+func (a *admission) dropIdle() {
+	if len(a.orgs) < maxIdleQueues {
 		return
 	}
-	for org, q := range g.orgs {
+	for org, q := range a.orgs {
 		if q.waiting == 0 {
-			delete(g.orgs, org)
+			delete(a.orgs, org)
 		}
 	}
 }
 
 func (q *queue) retry(now time.Time) time.Duration {
-	perSecond := q.drained.read(now)
+	perSecond := q.drainRate.read(now)
 	if perSecond <= 0 {
 		return unknownRetry
 	}
--- a/pkg/claimant/bench_test.go
+++ b/pkg/claimant/bench_test.go
@@ -9,39 +9,40 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// BenchmarkRound is a claim, its grant and its Done through the decisions alone, beside
-// a number of other waiting claims.
+// BenchmarkRound runs a claim, its grant and its Done through the state machine alone,
+// beside a number of other waiting claims.
 func BenchmarkRound(b *testing.B) {
 	for _, waiting := range []int{0, 100, 10_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
-			f := newFleet(b, Options{})
-			m := newMachine(f.claimant, f, f.claimant.options)
+			f := newFakeFleet(b, Options{})
+			m := newStateMachine(f.claimant, f, f.claimant.options)
 			now := time.Now()
 			for i := range waiting {
-				m.join(now, newTicket(sched.Request{Org: fmt.Sprint(i % 71), Pool: pool}, now))
+				m.addWaiter(now, newWaiter(sched.Request{Org: fmt.Sprint(i % 71), Pool: pool}, now))
 			}
 			m.out.frames = nil
 			b.ReportAllocs()
 			for b.Loop() {
-				t := newTicket(sched.Request{Org: "acme", Pool: pool}, now)
-				m.join(now, t)
-				m.grant(now, "k1", wire.Grant{ID: t.claim.id, Cell: cellA, Upstream: "u1", TTLMs: 2000})
-				m.end(ended{slot: (<-t.answer).slot, outcome: wire.OutcomeServed})
+				w := newWaiter(sched.Request{Org: "acme", Pool: pool}, now)
+				m.addWaiter(now, w)
+				m.handleGrant(now, "k1", wire.Grant{ID: w.claim.id, Cell: cellA, Upstream: "u1", TTLMs: 2000})
+				m.release(doneEvent{slot: (<-w.answer).slot, outcome: wire.OutcomeServed})
 				m.out.frames = nil
 			}
 		})
 	}
 }
 
-// BenchmarkFullReport is a whole report of a cell, the dearest turn of the duty.
+// BenchmarkFullReport builds a full report of a cell, the most expensive step of the event
+// loop.
 func BenchmarkFullReport(b *testing.B) {
 	for _, waiting := range []int{100, 10_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
-			f := newFleet(b, Options{})
-			m := newMachine(f.claimant, f, f.claimant.options)
+			f := newFakeFleet(b, Options{})
+			m := newStateMachine(f.claimant, f, f.claimant.options)
 			now := time.Now()
 			for i := range waiting {
-				m.join(now, newTicket(sched.Request{Org: fmt.Sprint(i % 71), Pool: pool}, now))
+				m.addWaiter(now, newWaiter(sched.Request{Org: fmt.Sprint(i % 71), Pool: pool}, now))
 			}
 			for b.Loop() {
 				m.out.frames = nil
@@ -54,7 +55,7 @@
 
 // instantKeeper grants each claim as it is sent.
 type instantKeeper struct {
-	*fleet
+	*fakeFleet
 	buffer wire.Frame
 }
 
@@ -66,10 +67,10 @@
 	}
 }
 
-// BenchmarkAcquire is the same round through the duty and its channels.
+// BenchmarkAcquire runs the same round through the event loop and its channels.
 func BenchmarkAcquire(b *testing.B) {
-	f := newFleet(b, Options{})
-	f.claimant = New(f, &instantKeeper{fleet: f}, Options{})
+	f := newFakeFleet(b, Options{})
+	f.claimant = New(f, &instantKeeper{fakeFleet: f}, Options{})
 	go f.claimant.Run(b.Context())
 	b.ReportAllocs()
 	for b.Loop() {
@@ -81,13 +82,13 @@
 	}
 }
 
-// BenchmarkRefuse is what one request of a flood costs.
+// BenchmarkRefuse runs the refusal of one request of a flood.
 func BenchmarkRefuse(b *testing.B) {
-	f := newFleet(b, Options{OrgQueued: func(string) int { return 0 }})
+	f := newFakeFleet(b, Options{OrgQueued: func(string) int { return 0 }})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := f.claimant.Acquire(b.Context(), sched.Request{Org: "flood", Pool: pool}); err == nil {
-			b.Fatal("admitted")
+			b.Fatal("admitted, want a refusal")
 		}
 	}
 }
--- a/pkg/claimant/claim.go
+++ b/pkg/claimant/claim.go
@@ -7,7 +7,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Backoff between copies of a claim that nobody has answered.
+// Bounds of the backoff between copies of an unanswered claim.
 const (
 	minResend = time.Second
 	maxResend = 8 * time.Second
@@ -15,30 +15,30 @@
 
 // claim is a request that waits for a grant.
 type claim struct {
-	id      wire.ClaimID
-	ticket  *ticket
-	cell    *cell
-	place   *list.Element // in cell.waiting
-	placed  time.Time     // when it came to this cell
-	exclude []string
-	// firsts holds, for each keeper that has been asked, when the first copy was sent.
-	firsts []firstCopy
-	// listed is the first report that listed the claim since its last copy; 0 for none.
-	listed   uint64
-	resendAt time.Time
-	resend   time.Duration
-	retries  int // grants that came to nothing
-	refusals int // by cells of the pool
+	id       wire.ClaimID
+	waiter   *waiter
+	cell     *cell
+	element  *list.Element // in cell.waiting
+	placedAt time.Time     // when it was placed in this cell
+	exclude  []string
+	// firstCopies holds, for each keeper that was asked, when the first copy was sent.
+	firstCopies []firstCopy
+	// listedSeq is the first report that listed the claim since its last copy; 0 for none.
+	listedSeq     uint64
+	resendAt      time.Time
+	resendBackoff time.Duration
+	retries       int // grants that were returned unused
+	refusals      int // by cells of the pool
 }
 
-// firstCopy is the sending of a claim's first copy to one keeper.
+// firstCopy records when a claim's first copy was sent to a keeper.
 type firstCopy struct {
 	keeper wire.RouterID
 	at     time.Time
 }
 
-func (c *claim) first(keeper wire.RouterID) (time.Time, bool) {
-	for _, f := range c.firsts {
+func (c *claim) firstSentAt(keeper wire.RouterID) (time.Time, bool) {
+	for _, f := range c.firstCopies {
 		if f.keeper == keeper {
 			return f.at, true
 		}
@@ -46,9 +46,9 @@
 	return time.Time{}, false
 }
 
-// message is a copy of the claim for the wire.
+// message returns a copy of the claim for the wire.
 func (c *claim) message(now time.Time) wire.Claim {
-	r := &c.ticket.req
+	r := &c.waiter.req
 	m := wire.Claim{
 		ID:      c.id,
 		Cell:    c.cell.id,
@@ -56,7 +56,7 @@
 		Class:   r.Class,
 		Prefix:  r.Prefix,
 		Content: r.Content,
-		AgeMs:   millis(now.Sub(c.ticket.since)),
+		AgeMs:   millis(now.Sub(c.waiter.acceptedAt)),
 		Exclude: c.exclude,
 	}
 	if !r.Deadline.IsZero() {
--- a/pkg/claimant/claimant.go
+++ b/pkg/claimant/claimant.go
@@ -10,27 +10,27 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Sizes of the duty's channels.
+// Sizes of the event loop's channels.
 const (
-	callQueue    = 1024
-	messageQueue = 8192
+	callerQueueSize  = 1024
+	messageQueueSize = 8192
 )
 
-// Claimant implements sched.Scheduler. Run must be running for Acquire to be answered.
+// Claimant implements sched.Scheduler. Acquire is answered only while Run is running.
 type Claimant struct {
 	options   Options
 	directory Directory
 	sender    Sender
-	gate      *gate
+	admission *admission
 	draining  atomic.Bool
-	lost      atomic.Uint64
+	dropped   atomic.Uint64
 	claims    atomic.Uint64
-	own       atomic.Uint64
+	ownClaims atomic.Uint64
 
-	calls    chan event // from callers
-	messages chan event // from keepers
-	wake     chan struct{}
-	stopped  chan struct{}
+	callerEvents chan event // from callers
+	messages     chan event // from keepers
+	wake         chan struct{}
+	stopped      chan struct{}
 }
 
 var _ sched.Scheduler = (*Claimant)(nil)
@@ -39,14 +39,14 @@
 func New(d Directory, s Sender, o Options) *Claimant {
 	o = o.withDefaults()
 	return &Claimant{
-		options:   o,
-		directory: d,
-		sender:    s,
-		gate:      newGate(o.MaxQueued, o.OrgQueued),
-		calls:     make(chan event, callQueue),
-		messages:  make(chan event, messageQueue),
-		wake:      make(chan struct{}, 1),
-		stopped:   make(chan struct{}),
+		options:      o,
+		directory:    d,
+		sender:       s,
+		admission:    newAdmission(o.MaxQueued, o.OrgQueued),
+		callerEvents: make(chan event, callerQueueSize),
+		messages:     make(chan event, messageQueueSize),
+		wake:         make(chan struct{}, 1),
+		stopped:      make(chan struct{}),
 	}
 }
 
@@ -57,66 +57,66 @@
 		return nil, draining(c.entries())
 	}
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
-		return nil, deadlinePassed(c.gate.retryAfter(r.Org, now))
+		return nil, deadlinePassed(c.admission.retryAfter(r.Org, now))
 	}
-	if retry, ok := c.gate.enter(r.Org, now); !ok {
+	if retry, ok := c.admission.enter(r.Org, now); !ok {
 		return nil, overloaded(retry)
 	}
-	s, err := c.wait(ctx, newTicket(r, now))
-	c.gate.leave(r.Org, s != nil, time.Now())
+	s, err := c.waitForSlot(ctx, newWaiter(r, now))
+	c.admission.leave(r.Org, s != nil, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// wait queues a ticket and returns its slot or its error.
-func (c *Claimant) wait(ctx context.Context, t *ticket) (*slot, *verdict.Error) {
-	expired, stop := expiry(t.req.Deadline)
+// waitForSlot queues a waiter and returns its slot or its error.
+func (c *Claimant) waitForSlot(ctx context.Context, w *waiter) (*slot, *verdict.Error) {
+	expired, stop := deadlineTimer(w.req.Deadline)
 	defer stop()
 	select {
-	case c.calls <- joined{t}:
+	case c.callerEvents <- joinEvent{w}:
 	case <-ctx.Done():
-		return nil, contextEnded(ctx, c.retryAfter(t))
+		return nil, contextEnded(ctx, c.retryAfter(w))
 	case <-expired:
-		return nil, deadlinePassed(c.retryAfter(t))
+		return nil, deadlinePassed(c.retryAfter(w))
 	case <-c.stopped:
 		return nil, draining(c.entries())
 	}
 	select {
-	case a := <-t.answer:
+	case a := <-w.answer:
 		return a.slot, a.err
 	case <-ctx.Done():
-		return nil, c.giveUp(t, contextEnded(ctx, c.retryAfter(t)))
+		return nil, c.giveUp(w, contextEnded(ctx, c.retryAfter(w)))
 	case <-expired:
-		return nil, c.giveUp(t, deadlinePassed(c.retryAfter(t)))
+		return nil, c.giveUp(w, deadlinePassed(c.retryAfter(w)))
 	case <-c.stopped:
-		return nil, c.giveUp(t, draining(c.entries()))
+		return nil, c.giveUp(w, draining(c.entries()))
 	}
 }
 
-// giveUp withdraws a ticket. An answer that came at the same moment is given back.
-func (c *Claimant) giveUp(t *ticket, err *verdict.Error) *verdict.Error {
-	if t.leave() {
-		c.call(left{t})
+// giveUp withdraws a waiter. A slot that arrives at the same moment is returned.
+func (c *Claimant) giveUp(w *waiter, err *verdict.Error) *verdict.Error {
+	if w.leave() {
+		c.sendEvent(leaveEvent{w})
 		return err
 	}
-	if a := <-t.answer; a.slot != nil {
+	if a := <-w.answer; a.slot != nil {
 		a.slot.Done(wire.OutcomeUnused, 0, 0, 0)
 	}
 	return err
 }
 
-// call passes a caller's event to the duty, which always takes it soon.
-func (c *Claimant) call(e event) {
+// sendEvent passes a caller's event to the event loop, which never blocks for long.
+func (c *Claimant) sendEvent(e event) {
 	select {
-	case c.calls <- e:
+	case c.callerEvents <- e:
 	case <-c.stopped:
 	}
 }
 
-func (c *Claimant) retryAfter(t *ticket) time.Duration {
-	return c.gate.retryAfter(t.req.Org, time.Now())
+func (c *Claimant) retryAfter(w *waiter) time.Duration {
+	return c.admission.retryAfter(w.req.Org, time.Now())
 }
 
 func (c *Claimant) entries() []string {
@@ -126,8 +126,9 @@
 	return c.options.Entries()
 }
 
-// expiry is a channel that gets a value at the deadline; never for the zero time.
-func expiry(deadline time.Time) (<-chan time.Time, func() bool) {
+// deadlineTimer returns a channel that receives at the deadline, or never for the zero
+// time, and the function that stops its timer.
+func deadlineTimer(deadline time.Time) (<-chan time.Time, func() bool) {
 	if deadline.IsZero() {
 		return nil, func() bool { return true }
 	}
@@ -138,15 +139,16 @@
 // Drain refuses new requests from now on; waiting ones are still served.
 func (c *Claimant) Drain() { c.draining.Store(true) }
 
-// Waiting is the number of requests that wait here.
+// Waiting returns the number of requests that wait here.
 func (c *Claimant) Waiting() int {
-	c.gate.mu.Lock()
-	defer c.gate.mu.Unlock()
-	return c.gate.total.waiting
+	c.admission.mu.Lock()
+	defer c.admission.mu.Unlock()
+	return c.admission.total.waiting
 }
 
-// Claims counts the copies of claims sent, and those of them to this router's own cells.
-func (c *Claimant) Claims() (all, own uint64) { return c.claims.Load(), c.own.Load() }
+// Claims returns the number of claim copies sent, and how many of them went to cells that
+// this router keeps itself.
+func (c *Claimant) Claims() (all, own uint64) { return c.claims.Load(), c.ownClaims.Load() }
 
-// Lost is the number of keepers' messages dropped because the duty was behind.
-func (c *Claimant) Lost() uint64 { return c.lost.Load() }
+// Lost returns the number of keepers' messages dropped because the event loop was behind.
+func (c *Claimant) Lost() uint64 { return c.dropped.Load() }
--- a/pkg/claimant/events.go
+++ b/pkg/claimant/events.go
@@ -6,43 +6,43 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// event is one turn's input of the duty.
+// event is an input of the event loop.
 type event interface {
-	apply(m *machine, now time.Time)
+	apply(m *stateMachine, now time.Time)
 }
 
-// joined is a caller's request, left its withdrawal.
-type joined struct{ ticket *ticket }
-type left struct{ ticket *ticket }
+// joinEvent is a new request of a caller, callerLeft its withdrawal.
+type joinEvent struct{ waiter *waiter }
+type leaveEvent struct{ waiter *waiter }
 
-// ended is a slot given back by its caller.
-type ended struct {
-	slot        *slot
-	outcome     wire.Outcome
-	first, step time.Duration
+// doneEvent is a slot released by its caller.
+type doneEvent struct {
+	slot                      *slot
+	outcome                   wire.Outcome
+	firstToken, tokenInterval time.Duration
 }
 
-// granted, refused and stated are a keeper's messages.
-type granted struct {
+// grantEvent, refusalReceived and stateReceived are messages from a keeper.
+type grantEvent struct {
 	from  wire.RouterID
 	grant wire.Grant
 }
-type refused struct {
+type refusalEvent struct {
 	from    wire.RouterID
 	refusal wire.Refusal
 }
-type stated struct {
+type stateEvent struct {
 	from  wire.RouterID
 	state wire.CellState
 }
 
-// restarted says that a router came back with no state.
-type restarted struct{ router wire.RouterID }
+// restartEvent says that a router restarted without its state.
+type restartEvent struct{ router wire.RouterID }
 
-func (e joined) apply(m *machine, now time.Time)    { m.join(now, e.ticket) }
-func (e left) apply(m *machine, _ time.Time)        { m.leave(e.ticket) }
-func (e ended) apply(m *machine, _ time.Time)       { m.end(e) }
-func (e granted) apply(m *machine, now time.Time)   { m.grant(now, e.from, e.grant) }
-func (e refused) apply(m *machine, now time.Time)   { m.refusal(now, e.from, e.refusal) }
-func (e stated) apply(m *machine, now time.Time)    { m.state(now, e.from, e.state) }
-func (e restarted) apply(m *machine, now time.Time) { m.restarted(now, e.router) }
+func (e joinEvent) apply(m *stateMachine, now time.Time)    { m.addWaiter(now, e.waiter) }
+func (e leaveEvent) apply(m *stateMachine, _ time.Time)     { m.removeWaiter(e.waiter) }
+func (e doneEvent) apply(m *stateMachine, _ time.Time)      { m.release(e) }
+func (e grantEvent) apply(m *stateMachine, now time.Time)   { m.handleGrant(now, e.from, e.grant) }
+func (e refusalEvent) apply(m *stateMachine, now time.Time) { m.handleRefusal(now, e.from, e.refusal) }
+func (e stateEvent) apply(m *stateMachine, now time.Time)   { m.handleState(now, e.from, e.state) }
+func (e restartEvent) apply(m *stateMachine, now time.Time) { m.handleRestart(now, e.router) }
--- a/pkg/claimant/fake_test.go
+++ b/pkg/claimant/fake_test.go
@@ -20,8 +20,8 @@
 	ttl   = 2 * time.Second
 )
 
-// fleet is a fake of all that surrounds one claimant.
-type fleet struct {
+// fakeFleet is a fake of everything around one claimant.
+type fakeFleet struct {
 	t        testing.TB
 	claimant *Claimant
 
@@ -32,7 +32,7 @@
 	sent    map[wire.RouterID]*wire.Frame
 }
 
-func (f *fleet) Cells(p string) []wire.CellID {
+func (f *fakeFleet) Cells(p string) []wire.CellID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p != pool {
@@ -41,22 +41,22 @@
 	return slices.Clone(f.cells)
 }
 
-func (f *fleet) Keeper(c wire.CellID) (wire.RouterID, bool) {
+func (f *fakeFleet) Keeper(c wire.CellID) (wire.RouterID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k, ok := f.keepers[c]
 	return k, ok
 }
 
-func (f *fleet) UpstreamURL(name string) (string, bool) { return "http://" + name, name != "gone" }
+func (f *fakeFleet) UpstreamURL(name string) (string, bool) { return "http://" + name, name != "gone" }
 
-func (f *fleet) Usable(name string) bool {
+func (f *fakeFleet) Usable(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.down[name]
 }
 
-func (f *fleet) Send(to wire.RouterID, add func(*wire.Frame)) {
+func (f *fakeFleet) Send(to wire.RouterID, add func(*wire.Frame)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.sent[to] == nil {
@@ -65,8 +65,9 @@
 	add(f.sent[to])
 }
 
-// take waits until nothing moves and returns what was sent to a router since last time.
-func (f *fleet) take(to wire.RouterID) wire.Frame {
+// take waits until the goroutines are idle and returns what was sent to a router since the
+// last call.
+func (f *fakeFleet) take(to wire.RouterID) wire.Frame {
 	f.t.Helper()
 	synctest.Wait()
 	f.mu.Lock()
@@ -79,21 +80,21 @@
 	return *frame
 }
 
-func (f *fleet) setKeeper(c wire.CellID, k wire.RouterID) {
+func (f *fakeFleet) setKeeper(c wire.CellID, k wire.RouterID) {
 	f.mu.Lock()
 	f.keepers[c] = k
 	f.mu.Unlock()
 	f.claimant.KeepersChanged()
 }
 
-func (f *fleet) setDown(name string) {
+func (f *fakeFleet) setDown(name string) {
 	f.mu.Lock()
 	f.down[name] = true
 	f.mu.Unlock()
 }
 
-// claim takes the single claim that was sent to a router.
-func (f *fleet) claim(to wire.RouterID) wire.Claim {
+// claim returns the single claim that was sent to a router.
+func (f *fakeFleet) claim(to wire.RouterID) wire.Claim {
 	f.t.Helper()
 	claims := f.take(to).Claims
 	if len(claims) != 1 {
@@ -102,19 +103,19 @@
 	return claims[0]
 }
 
-func (f *fleet) grant(from wire.RouterID, c wire.Claim, upstream string, echo uint64) {
+func (f *fakeFleet) grant(from wire.RouterID, c wire.Claim, upstream string, echo uint64) {
 	f.claimant.HandleGrant(from, wire.Grant{
 		ID: c.ID, Cell: c.Cell, Upstream: upstream, TTLMs: uint32(ttl.Milliseconds()), EchoSeq: echo,
 	})
 }
 
-// result is the end of one Acquire.
+// result is the result of one Acquire.
 type result struct {
 	slot sched.Slot
 	err  error
 }
 
-func (f *fleet) acquire(ctx context.Context, r sched.Request) <-chan result {
+func (f *fakeFleet) acquire(ctx context.Context, r sched.Request) <-chan result {
 	done := make(chan result, 1)
 	if r.Pool == "" {
 		r.Pool = pool
@@ -126,12 +127,12 @@
 	return done
 }
 
-// request is one with a deadline in a minute.
+// request returns a request whose deadline is in a minute.
 func request(org string) sched.Request {
 	return sched.Request{Org: org, Pool: pool, Deadline: time.Now().Add(time.Minute)}
 }
 
-// mustSlot takes a slot that must be there already.
+// mustSlot returns the slot, which must be available already.
 func mustSlot(t testing.TB, done <-chan result) sched.Slot {
 	t.Helper()
 	synctest.Wait()
@@ -147,7 +148,7 @@
 	}
 }
 
-// mustFail takes an error that must be there already; it must be NotRun.
+// mustFail returns the error, which must be available already and be NotRun.
 func mustFail(t testing.TB, done <-chan result, code verdict.Code) *verdict.Error {
 	t.Helper()
 	synctest.Wait()
@@ -186,7 +187,7 @@
 }
 
 // done checks that a router got exactly one Done, and returns it.
-func (f *fleet) done(to wire.RouterID, id wire.ClaimID, want wire.Outcome) wire.Done {
+func (f *fakeFleet) done(to wire.RouterID, id wire.ClaimID, want wire.Outcome) wire.Done {
 	f.t.Helper()
 	dones := f.take(to).Dones
 	if len(dones) != 1 || dones[0].ID != id || dones[0].Outcome != want {
@@ -195,17 +196,16 @@
 	return dones[0]
 }
 
-// run runs a test in a bubble of fake time with a claimant whose pool has one cell,
-// kept by k1.
-func run(t *testing.T, o Options, test func(t *testing.T, f *fleet)) {
+// run runs a test with fake time and a claimant whose pool has one cell, kept by k1.
+func run(t *testing.T, o Options, test func(t *testing.T, f *fakeFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, o)
+		f := newFakeFleet(t, o)
 		ctx, cancel := context.WithCancel(t.Context())
 		stopped := make(chan struct{})
-		duty := f.claimant
+		claimant := f.claimant
 		go func() {
-			duty.Run(ctx)
+			claimant.Run(ctx)
 			close(stopped)
 		}()
 		test(t, f)
@@ -214,8 +214,8 @@
 	})
 }
 
-func newFleet(t testing.TB, o Options) *fleet {
-	f := &fleet{
+func newFakeFleet(t testing.TB, o Options) *fakeFleet {
+	f := &fakeFleet{
 		t:       t,
 		cells:   []wire.CellID{cellA},
 		keepers: map[wire.CellID]wire.RouterID{cellA: "k1"},
@@ -227,12 +227,12 @@
 }
 
 // addCellB gives the pool a second cell, kept by k2.
-func (f *fleet) addCellB() {
+func (f *fakeFleet) addCellB() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cells = append(f.cells, cellB)
 	f.keepers[cellB] = "k2"
 }
 
-// pass lets fake time go by.
-func pass(d time.Duration) { <-time.After(d) }
+// advance lets fake time pass.
+func advance(d time.Duration) { <-time.After(d) }
--- a/pkg/claimant/grant.go
+++ b/pkg/claimant/grant.go
@@ -7,38 +7,38 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// grant takes a keeper's grant.
-func (m *machine) grant(now time.Time, from wire.RouterID, g wire.Grant) {
-	if m.runs(from, g) {
+// handleGrant processes a keeper's grant.
+func (m *stateMachine) handleGrant(now time.Time, from wire.RouterID, g wire.Grant) {
+	if m.alreadyRuns(from, g) {
 		return
 	}
 	cl, ok := m.claims[g.ID]
 	if !ok || cl.cell.id != g.Cell {
-		m.giveBack(from, g)
+		m.returnGrant(from, g)
 		return
 	}
-	cl.cell.noteVirtual(cl.ticket.req.Org, g.Virtual)
-	s := m.slotOf(from, cl, g)
-	if s == nil || !now.Before(s.lapses) {
-		m.giveBack(from, g)
-		m.again(now, cl, "")
+	cl.cell.noteVirtual(cl.waiter.req.Org, g.Virtual)
+	s := m.newSlot(from, cl, g)
+	if s == nil || !now.Before(s.expiresAt) {
+		m.returnGrant(from, g)
+		m.requeue(now, cl, "")
 		return
 	}
 	url, ok := m.directory.UpstreamURL(g.Upstream)
 	if !ok || !m.directory.Usable(g.Upstream) || slices.Contains(cl.exclude, g.Upstream) {
-		m.giveBack(from, g)
-		m.again(now, cl, g.Upstream)
+		m.returnGrant(from, g)
+		m.requeue(now, cl, g.Upstream)
 		return
 	}
 	s.url = url
-	m.hand(now, cl, s)
+	m.deliver(now, cl, s)
 }
 
-// runs says that a grant is for the slot that runs already: a second copy of its grant,
-// or the grant of another keeper that chose the same upstream. Giving it back would free
-// a slot in use there, and one request more would wait inside the engine. The other keeper
-// hears of the slot when the request ends.
-func (m *machine) runs(from wire.RouterID, g wire.Grant) bool {
+// alreadyRuns reports whether a grant is for a slot that already runs: a second copy of its
+// grant, or the grant of another keeper that chose the same upstream. Returning it would
+// free a slot in use, and one request too many would queue inside the engine. The other
+// keeper gets a Done when the request ends.
+func (m *stateMachine) alreadyRuns(from wire.RouterID, g wire.Grant) bool {
 	c, ok := m.cells[g.Cell]
 	if !ok {
 		return false
@@ -47,35 +47,35 @@
 	if !ok || s.upstream != g.Upstream {
 		return false
 	}
-	if from != s.keeper && !slices.Contains(s.others, from) {
-		s.others = append(s.others, from)
+	if from != s.keeper && !slices.Contains(s.otherKeepers, from) {
+		s.otherKeepers = append(s.otherKeepers, from)
 	}
 	return true
 }
 
-// slotOf makes the slot of a grant; nil when the claim was never sent to that router.
-func (m *machine) slotOf(from wire.RouterID, cl *claim, g wire.Grant) *slot {
-	base, ok := grantBase(from, cl, g)
+// newSlot returns the slot of a grant; nil when the claim was never sent to that router.
+func (m *stateMachine) newSlot(from wire.RouterID, cl *claim, g wire.Grant) *slot {
+	base, ok := ttlStart(from, cl, g)
 	if !ok {
 		return nil
 	}
 	return &slot{
 		owner: m.owner, id: cl.id, cell: cl.cell, keeper: from,
-		org:      cl.ticket.req.Org,
-		upstream: g.Upstream, lapses: base.Add(time.Duration(g.TTLMs) * time.Millisecond),
+		org:      cl.waiter.req.Org,
+		upstream: g.Upstream, expiresAt: base.Add(time.Duration(g.TTLMs) * time.Millisecond),
 		alone: g.Alone,
 	}
 }
 
-// grantBase is the moment from which a grant's time counts, on this router's clock.
+// ttlStart returns the moment from which a grant's TTL counts, on this router's clock.
 //
 // The failure it guards against: a paused or slow router uses a grant that its keeper
-// has written off. The keeper can't have granted before it had a copy of the claim, nor
-// before it had the report that the grant echoes, so the sending of either is a safe
-// moment and the later one is the tighter. The first copy alone would be safe too, but
-// every claim that waited longer than the grant lives would lapse.
-func grantBase(from wire.RouterID, cl *claim, g wire.Grant) (time.Time, bool) {
-	base, ok := cl.first(from)
+// considers expired. The keeper can't have granted before it had a copy of the claim, nor
+// before it had the report that the grant echoes. The sending of either is therefore a safe
+// start, and the later one is the tighter bound. With the first copy alone every claim
+// that waited longer than the TTL would have its grant expire.
+func ttlStart(from wire.RouterID, cl *claim, g wire.Grant) (time.Time, bool) {
+	base, ok := cl.firstSentAt(from)
 	if !ok {
 		return time.Time{}, false
 	}
@@ -85,13 +85,13 @@
 	return base, true
 }
 
-// hand gives a slot to the claim's caller, or back when the caller has left.
-func (m *machine) hand(now time.Time, cl *claim, s *slot) {
+// deliver gives a slot to the claim's caller, or releases it when the caller has left.
+func (m *stateMachine) deliver(now time.Time, cl *claim, s *slot) {
 	m.drop(cl)
 	c := s.cell
 	c.running[s.id] = s
-	if !cl.ticket.resolve(answer{slot: s}) {
-		m.end(ended{slot: s, outcome: wire.OutcomeUnused})
+	if !cl.waiter.resolve(answer{slot: s}) {
+		m.release(doneEvent{slot: s, outcome: wire.OutcomeUnused})
 		return
 	}
 	if s.keeper != c.keeper {
@@ -99,10 +99,10 @@
 	}
 }
 
-// again puts a claim back in line after a grant that came to nothing, with its age
-// kept; without excluded, when that isn't "". The first time at once, then with
-// backoff, so that a keeper with an old view isn't asked at the speed of the wire.
-func (m *machine) again(now time.Time, cl *claim, excluded string) {
+// requeue places a claim again after an unused grant. It keeps its age, and excluded, if
+// not empty, is added to its excluded upstreams. The first time the claim is sent at once,
+// later with backoff, so that a keeper with outdated state isn't asked in a tight loop.
+func (m *stateMachine) requeue(now time.Time, cl *claim, excluded string) {
 	c := cl.cell
 	m.drop(cl)
 	if excluded != "" && !slices.Contains(cl.exclude, excluded) {
@@ -111,16 +111,16 @@
 	m.place(now, cl, c)
 	cl.retries++
 	if cl.retries == 1 {
-		m.send(now, cl)
+		m.sendClaim(now, cl)
 		return
 	}
-	cl.resendAt = now.Add(min(time.Duration(cl.retries)*m.report, maxResend))
+	cl.resendAt = now.Add(min(time.Duration(cl.retries)*m.reportInterval, maxResend))
 }
 
-// giveBack returns a grant that isn't used.
-func (m *machine) giveBack(to wire.RouterID, g wire.Grant) {
+// returnGrant returns an unused grant to its keeper.
+func (m *stateMachine) returnGrant(to wire.RouterID, g wire.Grant) {
 	if c, ok := m.cells[g.Cell]; ok {
-		c.owe()
+		c.noteRelease()
 	}
 	f := m.out.to(to)
 	f.Dones = append(f.Dones, wire.Done{
@@ -135,31 +135,31 @@
 	}
 }
 
-// end takes a slot back from its caller and settles it.
-func (m *machine) end(e ended) {
+// release takes a slot back from its caller and reports its cost.
+func (m *stateMachine) release(e doneEvent) {
 	s := e.slot
 	c := s.cell
 	if c.running[s.id] != s {
 		return
 	}
 	delete(c.running, s.id)
-	c.owe()
+	c.noteRelease()
 	service := s.service()
-	m.count(s, service)
+	m.countService(s, service)
 	done := wire.Done{
 		ID: s.id, Cell: c.id, Upstream: s.upstream, Outcome: e.outcome,
-		Cost: service, FirstMs: millis(e.first), StepUs: micros(e.step),
+		Cost: service, FirstMs: millis(e.firstToken), StepUs: micros(e.tokenInterval),
 	}
 	m.sendDone(s.keeper, done)
-	if c.keeper != "" && c.keeper != s.keeper && !slices.Contains(s.others, c.keeper) {
+	if c.keeper != "" && c.keeper != s.keeper && !slices.Contains(s.otherKeepers, c.keeper) {
 		m.sendDone(c.keeper, done)
 	}
-	for _, k := range s.others {
+	for _, k := range s.otherKeepers {
 		m.sendDone(k, done)
 	}
 }
 
-func (m *machine) sendDone(to wire.RouterID, d wire.Done) {
+func (m *stateMachine) sendDone(to wire.RouterID, d wire.Done) {
 	f := m.out.to(to)
 	f.Dones = append(f.Dones, d)
 }
@@ -169,43 +169,43 @@
 	return uint32(min(max(d.Microseconds(), 0), largest))
 }
 
-// refusal takes a keeper's refusal.
-func (m *machine) refusal(now time.Time, from wire.RouterID, r wire.Refusal) {
+// handleRefusal processes a keeper's refusal.
+func (m *stateMachine) handleRefusal(now time.Time, from wire.RouterID, r wire.Refusal) {
 	cl, ok := m.claims[r.ID]
 	if !ok || cl.cell.id != r.Cell || cl.cell.keeper != from {
 		return
 	}
 	switch r.Reason {
 	case wire.RefusedNotKeeper, wire.RefusedLeaving:
-		m.askLater(now, cl)
+		m.retryLater(now, cl)
 	case wire.RefusedNoUpstream, wire.RefusedBacklog:
-		m.elsewhere(now, cl, r)
+		m.tryOtherCell(now, cl, r)
 	default:
-		m.refuse(cl, fromRefusal(r))
+		m.reject(cl, fromRefusal(r))
 	}
 }
 
-// askLater asks again when views of who keeps the cell have had time to meet. A
-// change of keeper asks at once.
-func (m *machine) askLater(now time.Time, cl *claim) {
+// retryLater sends the claim again when the routers have had time to agree on the cell's
+// keeper. A change of keeper sends it at once.
+func (m *stateMachine) retryLater(now time.Time, cl *claim) {
 	c := cl.cell
-	cl.listed = 0
+	cl.listedSeq = 0
 	c.unconfirmed[cl.id] = cl
-	cl.resendAt = now.Add(m.report)
-	m.follow(now, c)
+	cl.resendAt = now.Add(m.reportInterval)
+	m.refreshKeeper(now, c)
 }
 
-// elsewhere tries the other cells of the pool, each once, and then answers the caller at
-// once: it can use the time until its deadline better than waiting here.
-func (m *machine) elsewhere(now time.Time, cl *claim, r wire.Refusal) {
+// tryOtherCell tries each other cell of the pool once and then refuses the request at once:
+// the caller can use the time until its deadline better than by waiting here.
+func (m *stateMachine) tryOtherCell(now time.Time, cl *claim, r wire.Refusal) {
 	cl.refusals++
-	to := m.choose(now, cl.cell.pool, cl.cell)
+	to := m.chooseCell(now, cl.cell.pool, cl.cell)
 	limit := len(m.directory.Cells(cl.cell.pool))
 	if to == nil || cl.refusals >= limit {
-		m.refuse(cl, fromRefusal(r))
+		m.reject(cl, fromRefusal(r))
 		return
 	}
 	m.drop(cl)
 	m.place(now, cl, to)
-	m.send(now, cl)
+	m.sendClaim(now, cl)
 }
--- a/pkg/claimant/options.go
+++ b/pkg/claimant/options.go
@@ -7,33 +7,33 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Options sets up a Claimant.
+// Options configures a Claimant.
 type Options struct {
 	// Incarnation of this router; claim IDs of different incarnations differ.
 	Incarnation wire.Incarnation
-	// Self is this router: cells that it keeps itself cost no control messages.
+	// Self is this router; claims to cells that it keeps itself cost no control messages.
 	Self wire.RouterID
 	// Report is the time between two reports for one cell.
 	Report time.Duration
 	// MaxQueued bounds all waiting requests.
 	MaxQueued int
-	// OrgQueued bounds an organisation's waiting requests; nil takes the default for all.
+	// OrgQueued bounds an organisation's waiting requests; nil means the default for all.
 	OrgQueued func(org string) int
-	// Marks gives the leaving marks that changed lately; may be nil.
+	// Marks returns the recently changed marks of leaving upstreams; may be nil.
 	Marks func() []wire.UpstreamMark
-	// Entries gives addresses of other routers for refused callers; may be nil.
+	// Entries returns addresses of other routers for refused callers; may be nil.
 	Entries func() []string
 }
 
 // Defaults of Options.
 const (
-	defaultReport    = 500 * time.Millisecond
-	defaultMaxQueued = 4096
+	defaultReportInterval = 500 * time.Millisecond
+	defaultMaxQueued      = 4096
 )
 
 func (o Options) withDefaults() Options {
 	if o.Report <= 0 {
-		o.Report = defaultReport
+		o.Report = defaultReportInterval
 	}
 	if o.MaxQueued <= 0 {
 		o.MaxQueued = defaultMaxQueued
@@ -44,9 +44,10 @@
 	return o
 }
 
-// firstID keeps a late grant for an earlier incarnation's claim from matching a claim
-// of this one: the request would run on a slot charged to another organisation. IDs
-// stay below 2^32, which is 5 bytes on the wire, for the first million claims.
+// firstID is the ID before the first claim of an incarnation. It keeps a late grant for a
+// claim of an earlier incarnation from matching a claim of this one: the request would run
+// on a slot charged to another organisation. IDs stay below 2^32, which is 5 bytes on the
+// wire, for the first million claims.
 func firstID(inc wire.Incarnation) wire.ClaimID {
 	return wire.ClaimID(inc&0xfff) << 20
 }
--- a/pkg/claimant/outbox.go
+++ b/pkg/claimant/outbox.go
@@ -2,7 +2,7 @@
 
 import "github.com/flamingowind/flamingowind/pkg/wire"
 
-// outbox gathers the messages of one turn of the duty, a frame for each router.
+// outbox collects the messages of one iteration of the event loop, a frame for each router.
 type outbox struct {
 	frames map[wire.RouterID]*wire.Frame
 }
--- a/pkg/claimant/rate.go
+++ b/pkg/claimant/rate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rateWindow is the time over which departures are averaged.
+// rateWindow is the time constant over which departures are averaged.
 const rateWindow = 5 * time.Second
 
-// rate estimates departures a second with exponential decay.
+// rate estimates departures per second with exponential decay.
 type rate struct {
 	perSecond float64
 	at        time.Time
--- a/pkg/claimant/refusals.go
+++ b/pkg/claimant/refusals.go
@@ -11,7 +11,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// statusClientClosed is the customary status for a caller that went away.
+// statusClientClosed is the customary status for a client that closed the connection.
 const statusClientClosed = 499
 
 // Every error of this package is NotRun: no byte of a request leaves the router
@@ -27,7 +27,7 @@
 		"no slot became free within the deadline").After(retry)
 }
 
-// contextEnded tells a context's own deadline from a caller that went away.
+// contextEnded distinguishes a context's own deadline from a caller that went away.
 func contextEnded(ctx context.Context, retry time.Duration) *verdict.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return deadlinePassed(retry)
@@ -53,7 +53,7 @@
 	return e
 }
 
-// fromRefusal turns a keeper's refusal into the caller's error.
+// fromRefusal converts a keeper's refusal into the caller's error.
 func fromRefusal(r wire.Refusal) *verdict.Error {
 	retry := time.Duration(r.RetryMs) * time.Millisecond
 	if retry == 0 {
--- a/pkg/claimant/report.go
+++ b/pkg/claimant/report.go
@@ -7,68 +7,68 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// A full report goes out after fullEvery partial ones, less often the more it holds,
-// but at least after fullAtMost.
+// A full report is sent after minPartialReports partial ones, less often the more it
+// holds, but at the latest after maxPartialReports.
 const (
-	fullEvery  = 4
-	fullItems  = 32 // listed items for one more partial report
-	fullAtMost = 16
-	// hurriedMost is how many reports go to a new keeper, one each tick, until it has
-	// answered: by then it has settled without this router.
-	hurriedMost = 2 * ticksPerReport
+	minPartialReports = 4
+	itemsPerPartial   = 32 // listed items that allow one more partial report
+	maxPartialReports = 16
+	// maxUrgentReports is how many reports a new keeper gets, one per tick, until it has
+	// answered. After that it has finished its takeover without this router.
+	maxUrgentReports = 2 * ticksPerReport
 )
 
 func (c *cell) fullDue() bool {
 	items := c.waiting.Len() + len(c.running)
-	return c.needFull || items == 0 || c.partial >= min(fullEvery+items/fullItems, fullAtMost)
+	return c.needFull || items == 0 || c.partialReports >= min(minPartialReports+items/itemsPerPartial, maxPartialReports)
 }
 
-// sendReport tells the keeper of a cell what waits and runs here.
-func (m *machine) sendReport(now time.Time, c *cell) {
+// sendReport reports to the keeper of a cell what waits and runs here.
+func (m *stateMachine) sendReport(now time.Time, c *cell) {
 	full := c.fullDue()
 	r := wire.Report{Cell: c.id, Seq: c.reports.next(c.keeper, now), Full: full}
 	m.listRunning(c, &r)
-	r.Waiting = waiting(c, full, r.Seq)
-	r.Orgs = m.counters(c, full, c.needFull)
+	r.Waiting = listWaiting(c, full, r.Seq)
+	r.Orgs = m.listCounters(c, full, c.needFull)
 	if m.marks != nil {
 		r.Down = m.marks()
 	}
-	c.reportAt = now.Add(m.pace(c))
-	c.partial++
+	c.reportAt = now.Add(m.nextInterval(c))
+	c.partialReports++
 	if c.needFull {
-		c.reportAt = now.Add(m.report / ticksPerReport)
-		c.needSeq = cmp.Or(c.needSeq, r.Seq)
-		c.hurried++
-		c.needFull = c.hurried < hurriedMost
+		c.reportAt = now.Add(m.reportInterval / ticksPerReport)
+		c.needFullSeq = cmp.Or(c.needFullSeq, r.Seq)
+		c.urgentReports++
+		c.needFull = c.urgentReports < maxUrgentReports
 	}
 	if full {
-		c.partial = 0
-		if c.fullSeq == 0 {
-			c.fullSeq = r.Seq
+		c.partialReports = 0
+		if c.releaseSeq == 0 {
+			c.releaseSeq = r.Seq
 		}
 	}
 	f := m.out.to(c.keeper)
 	f.Reports = append(f.Reports, r)
 }
 
-// quietPace is the time between two reports for a quiet cell, in report intervals. A
-// slot stays known at the keeper for more than twice as long, see keeper.Options.Silent.
-const quietPace = 2
+// quietIntervals is the number of report intervals between two reports for a cell in which
+// nothing waits. A keeper remembers a slot for more than twice as long, see keeper.Options.Silent.
+const quietIntervals = 2
 
-// pace is the time to the next report. Where nothing waits, the order of organisations
-// decides nothing, and what they have been served may be known a little later.
-func (m *machine) pace(c *cell) time.Duration {
-	if c.backlog == 0 && c.waiting.Len() == 0 && !c.owesFull && c.answered > 0 {
-		return quietPace * m.report
+// nextInterval returns the time to the next report. Where nothing waits, the order of
+// organisations decides nothing, and their service may be reported a little later.
+func (m *stateMachine) nextInterval(c *cell) time.Duration {
+	if c.backlog == 0 && c.waiting.Len() == 0 && !c.releasePending && c.answeredSeq > 0 {
+		return quietIntervals * m.reportInterval
 	}
-	return m.report
+	return m.reportInterval
 }
 
-// waiting lists the claims; in a partial report those not confirmed yet.
-func waiting(c *cell, full bool, seq uint64) []wire.ClaimID {
+// listWaiting lists the waiting claims; in a partial report only the unconfirmed ones.
+func listWaiting(c *cell, full bool, seq uint64) []wire.ClaimID {
 	for _, cl := range c.unconfirmed {
-		if cl.listed == 0 {
-			cl.listed = seq
+		if cl.listedSeq == 0 {
+			cl.listedSeq = seq
 		}
 	}
 	var list []wire.ClaimID
@@ -84,19 +84,19 @@
 	return list
 }
 
-// count adds a slot's service to the counters, up to what it has delivered so far.
-func (m *machine) count(s *slot, service wire.Units) {
+// countService adds a slot's service since the last call to the counters.
+func (m *stateMachine) countService(s *slot, service wire.Units) {
 	fresh := service - s.counted
 	if fresh <= 0 {
 		return
 	}
 	s.counted = service
-	m.tally(s.cell.pool).totals[s.org] += fresh
+	m.usage(s.cell.pool).totals[s.org] += fresh
 	s.cell.delivered[s.org] += fresh
 }
 
-// state takes a keeper's answer to a report.
-func (m *machine) state(now time.Time, from wire.RouterID, st wire.CellState) {
+// handleState processes a keeper's answer to a report.
+func (m *stateMachine) handleState(now time.Time, from wire.RouterID, st wire.CellState) {
 	c, ok := m.cells[st.Cell]
 	if !ok || c.keeper != from {
 		return
@@ -104,28 +104,28 @@
 	if _, ours := c.reports.sentAt(st.Seq, from); !ours {
 		return
 	}
-	if c.needSeq != 0 && st.Seq >= c.needSeq {
-		c.needFull, c.needSeq = false, 0
+	if c.needFullSeq != 0 && st.Seq >= c.needFullSeq {
+		c.needFull, c.needFullSeq = false, 0
 	}
 	c.spare, c.backlog, c.stateAt = st.Spare, st.Backlog, now
-	c.answered = max(c.answered, st.Seq)
+	c.answeredSeq = max(c.answeredSeq, st.Seq)
 	if st.Unknown {
 		c.needFull, c.reportAt = true, now
 	}
-	if c.fullSeq != 0 && st.Seq >= c.fullSeq {
-		c.owesFull = false
+	if c.releaseSeq != 0 && st.Seq >= c.releaseSeq {
+		c.releasePending = false
 	}
 	m.confirm(now, c, st)
 	if c.spare > 0 {
-		m.fill(now, c)
+		m.fillSpareSlots(now, c)
 	}
 }
 
-// confirm marks the claims that the answered report listed as known to the keeper,
-// and sends those again that it doesn't know.
-func (m *machine) confirm(now time.Time, c *cell, st wire.CellState) {
+// confirm marks the claims that the answered report listed as known to the keeper, and
+// sends those again that it doesn't know.
+func (m *stateMachine) confirm(now time.Time, c *cell, st wire.CellState) {
 	for id, cl := range c.unconfirmed {
-		if cl.listed != 0 && cl.listed <= st.Seq {
+		if cl.listedSeq != 0 && cl.listedSeq <= st.Seq {
 			delete(c.unconfirmed, id)
 		}
 	}
@@ -134,9 +134,9 @@
 		if !ok || cl.cell != c {
 			continue
 		}
-		cl.listed = 0
-		cl.resend = 0
+		cl.listedSeq = 0
+		cl.resendBackoff = 0
 		c.unconfirmed[id] = cl
-		m.send(now, cl)
+		m.sendClaim(now, cl)
 	}
 }
--- a/pkg/claimant/reportlog.go
+++ b/pkg/claimant/reportlog.go
@@ -6,11 +6,11 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// reportLogSize is how many sent reports are remembered; older ones are of no use,
-// since a grant counted from them has lapsed.
+// reportLogSize is how many sent reports are remembered. Older ones are of no use, since a
+// grant whose TTL counts from them has expired.
 const reportLogSize = 32
 
-// reportLog remembers when the latest reports for one cell were sent, and to whom.
+// reportLog remembers when the latest reports for one cell were sent, and to which keeper.
 type reportLog struct {
 	seq  uint64
 	sent [reportLogSize]sentReport
@@ -22,14 +22,14 @@
 	at  time.Time
 }
 
-// next takes the number of a report that is sent now.
+// next returns the number of a report that is sent now.
 func (l *reportLog) next(to wire.RouterID, now time.Time) uint64 {
 	l.seq++
 	l.sent[l.seq%reportLogSize] = sentReport{seq: l.seq, to: to, at: now}
 	return l.seq
 }
 
-// sentAt is when report seq was sent to a keeper; false when it wasn't, or too long ago.
+// sentAt returns when report seq was sent to a keeper; false when it wasn't, or too long ago.
 func (l *reportLog) sentAt(seq uint64, to wire.RouterID) (time.Time, bool) {
 	s := l.sent[seq%reportLogSize]
 	return s.at, seq != 0 && s.seq == seq && s.to == to
--- a/pkg/claimant/run.go
+++ b/pkg/claimant/run.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// ticksPerReport is how often time-driven work is looked at in a report interval.
+	// ticksPerReport is how often per report interval time-driven work is done.
 	ticksPerReport = 5
-	// maxBatch bounds the events taken in one turn before messages go out.
+	// maxBatch bounds the events handled in one iteration before messages are sent.
 	maxBatch = 256
 )
 
-// Run is the claimant's duty. It returns when ctx ends; requests that still wait then
-// are refused as not run.
+// Run is the claimant's event loop. It returns when ctx ends; requests that still wait
+// then are refused as not run.
 func (c *Claimant) Run(ctx context.Context) {
 	defer close(c.stopped)
-	m := newMachine(c, c.directory, c.options)
+	m := newStateMachine(c, c.directory, c.options)
 	ticks := time.NewTicker(c.options.Report / ticksPerReport)
 	defer ticks.Stop()
 	for {
@@ -25,25 +25,26 @@
 			return
 		case e := <-c.messages:
 			e.apply(m, time.Now())
-		case e := <-c.calls:
+		case e := <-c.callerEvents:
 			e.apply(m, time.Now())
 		case <-c.wake:
-			m.followKeepers(time.Now())
+			m.refreshKeepers(time.Now())
 		case <-ticks.C:
 			m.tick(time.Now())
 		}
-		c.more(m)
+		c.drainBatch(m)
 		m.out.flush(c.sender)
 	}
 }
 
-// more takes what else has come, so that it goes out in the same frames.
-func (c *Claimant) more(m *machine) {
+// drainBatch handles the events that have arrived meanwhile, so that their messages go out
+// in the same frames.
+func (c *Claimant) drainBatch(m *stateMachine) {
 	for range maxBatch {
 		select {
 		case e := <-c.messages:
 			e.apply(m, time.Now())
-		case e := <-c.calls:
+		case e := <-c.callerEvents:
 			e.apply(m, time.Now())
 		default:
 			return
--- a/pkg/claimant/slot.go
+++ b/pkg/claimant/slot.go
@@ -8,30 +8,30 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// slot implements sched.Slot. The first fields never change; the duty owns the rest
-// but for the atomic ones.
+// slot implements sched.Slot. The fields up to alone never change once the slot is handed
+// out; the event loop owns the others, except the atomic ones.
 type slot struct {
-	owner    *Claimant
-	id       wire.ClaimID
-	cell     *cell
-	keeper   wire.RouterID // who granted it
-	org      string
-	upstream string
-	url      string
-	lapses   time.Time
-	alone    bool
+	owner     *Claimant
+	id        wire.ClaimID
+	cell      *cell
+	keeper    wire.RouterID // that granted it
+	org       string
+	upstream  string
+	url       string
+	expiresAt time.Time
+	alone     bool
 
-	// others are further keepers that granted this claim on the same upstream; only
+	// otherKeepers are further keepers that granted this claim on the same upstream; only
 	// routers that kept the cell while the claim waited do.
-	others []wire.RouterID
+	otherKeepers []wire.RouterID
 
 	started atomic.Bool
 	done    atomic.Bool
 	units   atomic.Uint64 // service so far, as the bits of a float64
 
-	counted wire.Units // part of the service that the counters hold
-	told    wire.Units // service in the last report
-	listed  uint64     // first report since the keeper changed that listed it whole; 0 for none
+	counted   wire.Units // part of the service that the counters contain
+	reported  wire.Units // service in the last report
+	listedSeq uint64     // first report since the keeper changed that listed it with all fields; 0 for none
 }
 
 // Upstream implements sched.Slot.
@@ -40,24 +40,24 @@
 // URL implements sched.Slot.
 func (s *slot) URL() string { return s.url }
 
-// Alone says that the request must run as the only one on its upstream.
+// Alone reports whether the request must run as the only one on its upstream.
 func (s *slot) Alone() bool { return s.alone }
 
 // Start implements sched.Slot.
 //
-// The failure it guards against: the router is paused with a grant in hand, the
-// keeper takes the slot for lost and gives it to another, and the request runs all
-// the same, on an upstream that is full or has left. lapses counts from a moment
-// before the keeper granted, so it passes here before the keeper gives the slot away.
-// started is set before the clock is read: the duty, which takes back lapsed slots
-// that were not started, then either sees it or has made Start fail. A pause between
-// Start and the first byte isn't covered: no check on this side can be.
+// The failure it guards against: the router is paused while it holds a grant, the keeper
+// considers the slot lost and gives it to another request, and the request runs all the
+// same, on an upstream that is full or has left. expiresAt counts from a moment before the
+// keeper granted, so it passes here before the keeper gives the slot away. started is set
+// before the clock is read: the event loop, which reclaims expired slots that were not
+// started, then either sees it or has made Start fail. A pause between Start and the first
+// byte isn't covered: no check on this side can be.
 func (s *slot) Start() bool {
 	if s.done.Load() {
 		return false
 	}
 	s.started.Store(true)
-	if time.Now().Before(s.lapses) && s.owner.directory.Usable(s.upstream) {
+	if time.Now().Before(s.expiresAt) && s.owner.directory.Usable(s.upstream) {
 		return true
 	}
 	s.started.Store(false)
@@ -86,13 +86,13 @@
 		return
 	}
 	s.Progress(cost)
-	s.owner.call(ended{slot: s, outcome: outcome, first: first, step: step})
+	s.owner.sendEvent(doneEvent{slot: s, outcome: outcome, firstToken: first, tokenInterval: step})
 }
 
 func (s *slot) service() wire.Units { return math.Float64frombits(s.units.Load()) }
 
-// forfeited says that the grant lapsed before the caller made use of it: Start can't
+// expiredUnused reports whether the grant expired before the caller started: Start can't
 // succeed any more.
-func (s *slot) forfeited(now time.Time) bool {
-	return !s.started.Load() && !now.Before(s.lapses)
+func (s *slot) expiredUnused(now time.Time) bool {
+	return !s.started.Load() && !now.Before(s.expiresAt)
 }
--- a/pkg/claimant/statemachine.go
+++ b/pkg/claimant/statemachine.go
@@ -7,105 +7,105 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// machine decides for the duty. It takes the time as an argument and leaves what it
-// wants sent in out.
-type machine struct {
-	owner     *Claimant
-	directory Directory
-	self      wire.RouterID
-	report    time.Duration
-	marks     func() []wire.UpstreamMark
-	out       outbox
+// stateMachine makes the decisions of the event loop. It takes the time as an argument and
+// leaves the messages to send in out.
+type stateMachine struct {
+	owner          *Claimant
+	directory      Directory
+	self           wire.RouterID
+	reportInterval time.Duration
+	marks          func() []wire.UpstreamMark
+	out            outbox
 
 	lastID wire.ClaimID
 	claims map[wire.ClaimID]*claim
-	// cells are never dropped: report numbers and counters must not fall within one
+	// cells are never dropped: report numbers and counters must not decrease within one
 	// incarnation. Cells are declared, so the map is bounded.
 	cells map[wire.CellID]*cell
-	// tallies by pool; pools are declared, so the map is bounded.
-	tallies map[string]*tally
+	// usages is keyed by pool; pools are declared, so the map is bounded.
+	usages map[string]*poolUsage
 }
 
-func newMachine(owner *Claimant, d Directory, o Options) *machine {
-	return &machine{
-		owner:     owner,
-		self:      o.Self,
-		directory: d,
-		report:    o.Report,
-		marks:     o.Marks,
-		lastID:    firstID(o.Incarnation),
-		claims:    make(map[wire.ClaimID]*claim),
-		cells:     make(map[wire.CellID]*cell),
-		tallies:   make(map[string]*tally),
+func newStateMachine(owner *Claimant, d Directory, o Options) *stateMachine {
+	return &stateMachine{
+		owner:          owner,
+		self:           o.Self,
+		directory:      d,
+		reportInterval: o.Report,
+		marks:          o.Marks,
+		lastID:         firstID(o.Incarnation),
+		claims:         make(map[wire.ClaimID]*claim),
+		cells:          make(map[wire.CellID]*cell),
+		usages:         make(map[string]*poolUsage),
 	}
 }
 
-// join takes a caller's request.
-func (m *machine) join(now time.Time, t *ticket) {
-	c := m.choose(now, t.req.Pool, nil)
+// addWaiter claims a slot for a caller's request.
+func (m *stateMachine) addWaiter(now time.Time, w *waiter) {
+	c := m.chooseCell(now, w.req.Pool, nil)
 	if c == nil {
-		t.resolve(answer{err: noUpstream(unknownRetry)})
+		w.resolve(answer{err: noUpstream(unknownRetry)})
 		return
 	}
-	m.tally(t.req.Pool).know(t.req.Org)
-	cl := &claim{ticket: t, exclude: t.req.Exclude}
-	t.claim = cl
+	m.usage(w.req.Pool).addOrg(w.req.Org)
+	cl := &claim{waiter: w, exclude: w.req.Exclude}
+	w.claim = cl
 	m.place(now, cl, c)
-	m.send(now, cl)
+	m.sendClaim(now, cl)
 }
 
-// leave takes back the claim of a caller that has gone.
-func (m *machine) leave(t *ticket) {
-	cl := t.claim
+// removeWaiter withdraws the claim of a caller that has gone.
+func (m *stateMachine) removeWaiter(w *waiter) {
+	cl := w.claim
 	if cl == nil || m.claims[cl.id] != cl {
 		return
 	}
 	m.withdraw(cl)
 }
 
-// place puts a claim under a new ID into a cell. A claim's ID is never used again
-// after it left a cell, so a grant that comes late can't be taken for a new one.
-func (m *machine) place(now time.Time, cl *claim, c *cell) {
+// place adds a claim to a cell under a new ID. The ID of a claim that left a cell is never
+// reused, so a late grant can't be mistaken for the grant of a new claim.
+func (m *stateMachine) place(now time.Time, cl *claim, c *cell) {
 	m.lastID++
 	cl.id = m.lastID
-	cl.firsts = nil
-	cl.listed = 0
-	cl.resend = 0
+	cl.firstCopies = nil
+	cl.listedSeq = 0
+	cl.resendBackoff = 0
 	m.claims[cl.id] = cl
 	c.add(cl, now)
-	c.hasten(now.Add(m.report))
+	c.reportBy(now.Add(m.reportInterval))
 }
 
-// send sends a copy of a claim to the keeper of its cell.
-func (m *machine) send(now time.Time, cl *claim) {
+// sendClaim sends a copy of a claim to the keeper of its cell.
+func (m *stateMachine) sendClaim(now time.Time, cl *claim) {
 	c := cl.cell
-	cl.resend = min(max(2*cl.resend, minResend), maxResend)
-	cl.resendAt = now.Add(cl.resend)
+	cl.resendBackoff = min(max(2*cl.resendBackoff, minResend), maxResend)
+	cl.resendAt = now.Add(cl.resendBackoff)
 	if c.keeper == "" {
 		return
 	}
-	if _, ok := cl.first(c.keeper); !ok {
-		cl.firsts = append(cl.firsts, firstCopy{keeper: c.keeper, at: now})
+	if _, ok := cl.firstSentAt(c.keeper); !ok {
+		cl.firstCopies = append(cl.firstCopies, firstCopy{keeper: c.keeper, at: now})
 	}
 	f := m.out.to(c.keeper)
 	f.Claims = append(f.Claims, cl.message(now))
 	m.owner.claims.Add(1)
 	if c.keeper == m.self {
-		m.owner.own.Add(1)
+		m.owner.ownClaims.Add(1)
 	}
 }
 
-// drop forgets a claim here.
-func (m *machine) drop(cl *claim) {
+// drop forgets a claim without telling the keeper.
+func (m *stateMachine) drop(cl *claim) {
 	cl.cell.remove(cl)
 	delete(m.claims, cl.id)
 }
 
-// withdraw takes a claim back from its keeper.
-func (m *machine) withdraw(cl *claim) {
+// withdraw cancels a claim at its keeper.
+func (m *stateMachine) withdraw(cl *claim) {
 	c := cl.cell
 	m.drop(cl)
-	c.owe()
+	c.noteRelease()
 	if c.keeper == "" {
 		return
 	}
@@ -113,38 +113,38 @@
 	f.Cancels = append(f.Cancels, wire.Cancel{ID: cl.id, Cell: c.id})
 }
 
-// refuse answers a waiting claim with an error.
-func (m *machine) refuse(cl *claim, err *verdict.Error) {
+// reject answers a waiting claim with an error.
+func (m *stateMachine) reject(cl *claim, err *verdict.Error) {
 	m.drop(cl)
-	cl.ticket.resolve(answer{err: err})
+	cl.waiter.resolve(answer{err: err})
 }
 
-// tick does all that depends on time alone. It is called several times a report interval.
-func (m *machine) tick(now time.Time) {
-	m.followKeepers(now)
-	m.probe(now)
+// tick does all time-driven work. It is called several times per report interval.
+func (m *stateMachine) tick(now time.Time) {
+	m.refreshKeepers(now)
+	m.probeIdleCells(now)
 	for _, c := range m.cells {
 		m.resendDue(now, c)
-		m.reclaimForfeited(now, c)
+		m.reclaimExpired(now, c)
 		if c.busy() && c.keeper != "" && !now.Before(c.reportAt) {
 			m.sendReport(now, c)
 		}
 	}
 }
 
-func (m *machine) resendDue(now time.Time, c *cell) {
+func (m *stateMachine) resendDue(now time.Time, c *cell) {
 	for _, cl := range c.unconfirmed {
 		if !now.Before(cl.resendAt) {
-			m.send(now, cl)
+			m.sendClaim(now, cl)
 		}
 	}
 }
 
-// reclaimForfeited gives slots back whose caller let the grant lapse.
-func (m *machine) reclaimForfeited(now time.Time, c *cell) {
+// reclaimExpired releases slots whose grant expired before the caller started.
+func (m *stateMachine) reclaimExpired(now time.Time, c *cell) {
 	for _, s := range c.running {
-		if s.forfeited(now) {
-			m.end(ended{slot: s, outcome: wire.OutcomeUnused})
+		if s.expiredUnused(now) {
+			m.release(doneEvent{slot: s, outcome: wire.OutcomeUnused})
 		}
 	}
 }
--- a/pkg/claimant/waiter.go
+++ b/pkg/claimant/waiter.go
@@ -8,15 +8,15 @@
 	"github.com/flamingowind/flamingowind/pkg/verdict"
 )
 
-// ticket joins one waiting caller to the duty. Exactly one side closes it: the duty
-// with an answer, or the caller by leaving. Without that a grant and a deadline at
-// the same moment would both win, and the slot would stay taken with nobody to run it.
-type ticket struct {
-	req    sched.Request
-	since  time.Time
-	closed atomic.Bool
-	answer chan answer // holds one
-	claim  *claim      // the duty's
+// waiter connects one waiting caller with the event loop. Exactly one side closes it: the
+// event loop with an answer, or the caller by leaving. Otherwise a grant and a deadline at
+// the same moment could both win, and the slot would stay occupied with nothing to run.
+type waiter struct {
+	req        sched.Request
+	acceptedAt time.Time
+	closed     atomic.Bool
+	answer     chan answer // buffered, for one answer
+	claim      *claim      // owned by the event loop
 }
 
 // answer is a slot or an error.
@@ -25,22 +25,22 @@
 	err  *verdict.Error
 }
 
-func newTicket(r sched.Request, now time.Time) *ticket {
-	t := &ticket{req: r, since: now, answer: make(chan answer, 1)}
+func newWaiter(r sched.Request, now time.Time) *waiter {
+	w := &waiter{req: r, acceptedAt: now, answer: make(chan answer, 1)}
 	if !r.Since.IsZero() && r.Since.Before(now) {
-		t.since = r.Since
+		w.acceptedAt = r.Since
 	}
-	return t
+	return w
 }
 
 // resolve answers the caller; false when it has left.
-func (t *ticket) resolve(a answer) bool {
-	if !t.closed.CompareAndSwap(false, true) {
+func (w *waiter) resolve(a answer) bool {
+	if !w.closed.CompareAndSwap(false, true) {
 		return false
 	}
-	t.answer <- a
+	w.answer <- a
 	return true
 }
 
-// leave withdraws the caller; false when an answer is there.
-func (t *ticket) leave() bool { return t.closed.CompareAndSwap(false, true) }
+// leave withdraws the caller; false when it has an answer already.
+func (w *waiter) leave() bool { return w.closed.CompareAndSwap(false, true) }
