--- a/pkg/claimant/bench_test.go
+++ b/pkg/claimant/bench_test.go
@@ -84,7 +84,7 @@
 
 // BenchmarkRefuse runs the refusal of one request of a flood.
 func BenchmarkRefuse(b *testing.B) {
-	f := newFakeFleet(b, Options{OrgQueued: func(string) int { return 0 }})
+	f := newFakeFleet(b, Options{MaxQueuedPerOrg: func(string) int { return 0 }})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := f.claimant.Acquire(b.Context(), sched.Request{Org: "flood", Pool: pool}); err == nil {
--- a/pkg/claimant/caller_test.go
+++ b/pkg/claimant/caller_test.go
@@ -139,7 +139,7 @@
 // a retry time that follows from how fast its queue drains. Others must still be admitted,
 // also when several organisations flood together.
 func TestFloodIsBoundedAndOthersGetIn(t *testing.T) {
-	run(t, Options{MaxQueued: 64, OrgQueued: func(string) int { return 40 }}, func(t *testing.T, f *fakeFleet) {
+	run(t, Options{MaxQueued: 64, MaxQueuedPerOrg: func(string) int { return 40 }}, func(t *testing.T, f *fakeFleet) {
 		for range 200 {
 			f.acquire(t.Context(), request("flood"))
 			f.acquire(t.Context(), request("flood2"))
@@ -180,5 +180,5 @@
 	for range messageQueueSize + 3 {
 		c.HandleState("k1", wire.CellState{})
 	}
-	check(t, c.Lost() == 3, "%d messages dropped, want 3", c.Lost())
+	check(t, c.Dropped() == 3, "%d messages dropped, want 3", c.Dropped())
 }
--- a/pkg/claimant/claimant.go
+++ b/pkg/claimant/claimant.go
@@ -42,7 +42,7 @@
 		options:      o,
 		directory:    d,
 		sender:       s,
-		admission:    newAdmission(o.MaxQueued, o.OrgQueued),
+		admission:    newAdmission(o.MaxQueued, o.MaxQueuedPerOrg),
 		callerEvents: make(chan event, callerQueueSize),
 		messages:     make(chan event, messageQueueSize),
 		wake:         make(chan struct{}, 1),
@@ -150,5 +150,5 @@
 // this router keeps itself.
 func (c *Claimant) Claims() (all, own uint64) { return c.claims.Load(), c.ownClaims.Load() }
 
-// Lost returns the number of keepers' messages dropped because the event loop was behind.
-func (c *Claimant) Lost() uint64 { return c.dropped.Load() }
+// Dropped returns the number of keepers' messages dropped because the event loop was behind.
+func (c *Claimant) Dropped() uint64 { return c.dropped.Load() }
--- a/pkg/claimant/options.go
+++ b/pkg/claimant/options.go
@@ -13,12 +13,12 @@
 	Incarnation wire.Incarnation
 	// Self is this router; claims to cells that it keeps itself cost no control messages.
 	Self wire.RouterID
-	// Report is the time between two reports for one cell.
-	Report time.Duration
+	// ReportInterval is the time between two reports for one cell.
+	ReportInterval time.Duration
 	// MaxQueued bounds all waiting requests.
 	MaxQueued int
-	// OrgQueued bounds an organisation's waiting requests; nil means the default for all.
-	OrgQueued func(org string) int
+	// MaxQueuedPerOrg bounds an organisation's waiting requests; nil means the default for all.
+	MaxQueuedPerOrg func(org string) int
 	// Marks returns the recently changed marks of leaving upstreams; may be nil.
 	Marks func() []wire.UpstreamMark
 	// Entries returns addresses of other routers for refused callers; may be nil.
@@ -32,14 +32,14 @@
 )
 
 func (o Options) withDefaults() Options {
-	if o.Report <= 0 {
-		o.Report = defaultReportInterval
+	if o.ReportInterval <= 0 {
+		o.ReportInterval = defaultReportInterval
 	}
 	if o.MaxQueued <= 0 {
 		o.MaxQueued = defaultMaxQueued
 	}
-	if o.OrgQueued == nil {
-		o.OrgQueued = func(string) int { return resource.DefaultMaxQueued }
+	if o.MaxQueuedPerOrg == nil {
+		o.MaxQueuedPerOrg = func(string) int { return resource.DefaultMaxQueued }
 	}
 	return o
 }
--- a/pkg/claimant/owncell_test.go
+++ b/pkg/claimant/owncell_test.go
@@ -11,7 +11,7 @@
 // go to other routers, although callers came to the right one. If they always went to the
 // router's own cell, they would starve while other cells drain.
 func TestABackloggedOwnCellIsPreferredWithinBounds(t *testing.T) {
-	m := newStateMachine(nil, nil, Options{Self: "k2", Report: time.Second})
+	m := newStateMachine(nil, nil, Options{Self: "k2", ReportInterval: time.Second})
 	now := time.Unix(1000, 0)
 	backlogged := func(keeper wire.RouterID, n uint32) *cell {
 		c := newCell(cellA, pool)
--- a/pkg/claimant/run.go
+++ b/pkg/claimant/run.go
@@ -17,7 +17,7 @@
 func (c *Claimant) Run(ctx context.Context) {
 	defer close(c.stopped)
 	m := newStateMachine(c, c.directory, c.options)
-	ticks := time.NewTicker(c.options.Report / ticksPerReport)
+	ticks := time.NewTicker(c.options.ReportInterval / ticksPerReport)
 	defer ticks.Stop()
 	for {
 		select {
--- a/pkg/claimant/statemachine.go
+++ b/pkg/claimant/statemachine.go
@@ -31,7 +31,7 @@
 		owner:          owner,
 		self:           o.Self,
 		directory:      d,
-		reportInterval: o.Report,
+		reportInterval: o.ReportInterval,
 		marks:          o.Marks,
 		lastID:         firstID(o.Incarnation),
 		claims:         make(map[wire.ClaimID]*claim),
--- a/pkg/daemon/fx.go
+++ b/pkg/daemon/fx.go
@@ -139,13 +139,13 @@
 
 func newClaimant(s settings.Settings, d *directory, snd *sender, m *member.Duty, l *config.Live, k *marks.Store, e *entries) *claimant.Claimant {
 	return claimant.New(d, snd, claimant.Options{
-		Self:        wire.RouterID(s.Router.ID),
-		Incarnation: wire.Incarnation(member.Life(m.View().Self.Incarnation)),
-		Report:      s.Timing.Report.Std(),
-		MaxQueued:   s.Limits.MaxQueued,
-		OrgQueued:   orgQueued(l),
-		Marks:       k.RecentMarks,
-		Entries:     e.Others,
+		Self:            wire.RouterID(s.Router.ID),
+		Incarnation:     wire.Incarnation(member.Life(m.View().Self.Incarnation)),
+		ReportInterval:  s.Timing.Report.Std(),
+		MaxQueued:       s.Limits.MaxQueued,
+		MaxQueuedPerOrg: orgQueued(l),
+		Marks:           k.RecentMarks,
+		Entries:         e.Others,
 	})
 }
 
--- a/pkg/fair/entry.go
+++ b/pkg/fair/entry.go
@@ -11,12 +11,12 @@
 type Entry[T any] struct {
 	Org   string
 	Class wire.Class
-	// Aside entries wait in a lane of their own: they need a rare condition (an idle
+	// Isolated entries wait in a lane of their own: they need a rare condition (an idle
 	// upstream) and must not block their organisation's other work.
-	Aside bool
-	// Since is when the work began to wait; it orders the entries of a lane.
-	Since time.Time
-	Value T
+	Isolated bool
+	// WaitingSince is when the work began to wait; it orders the entries of a lane.
+	WaitingSince time.Time
+	Value        T
 
 	lane    *lane
 	element *list.Element
@@ -26,7 +26,7 @@
 func (e *Entry[T]) Waiting() bool { return e.element != nil }
 
 func (e *Entry[T]) laneIndex() int {
-	if e.Aside {
+	if e.Isolated {
 		return laneIsolated
 	}
 	return min(laneUrgent+int(e.Class), laneBatch)
--- a/pkg/fair/order.go
+++ b/pkg/fair/order.go
@@ -52,7 +52,7 @@
 // thousands of entries arrive in any order, and an approximate order is enough.
 func insertByAge[T any](q *list.List, e *Entry[T]) *list.Element {
 	at := q.Back()
-	for n := 0; at != nil && n < maxInsertScan && e.Since.Before(at.Value.(*Entry[T]).Since); n++ {
+	for n := 0; at != nil && n < maxInsertScan && e.WaitingSince.Before(at.Value.(*Entry[T]).WaitingSince); n++ {
 		at = at.Prev()
 	}
 	if at == nil {
@@ -94,14 +94,14 @@
 	}
 }
 
-// SetAside moves a waiting entry to its organisation's lane for isolated entries.
-func (o *Order[T]) SetAside(e *Entry[T]) {
-	if e.element == nil || e.Aside {
+// Isolate moves a waiting entry to its organisation's lane for isolated entries.
+func (o *Order[T]) Isolate(e *Entry[T]) {
+	if e.element == nil || e.Isolated {
 		return
 	}
 	a := o.accounts[e.Org]
 	e.lane.queue.Remove(e.element)
-	e.Aside = true
+	e.Isolated = true
 	e.lane = &a.lanes[laneIsolated]
 	e.element = e.lane.queue.PushBack(e)
 }
--- a/pkg/fair/reference_test.go
+++ b/pkg/fair/reference_test.go
@@ -21,7 +21,7 @@
 // laneOf doesn't use Entry.laneIndex, so that the reference doesn't share its faults.
 func laneOf(e *Entry[int]) int {
 	switch {
-	case e.Aside:
+	case e.Isolated:
 		return 0
 	case e.Class == wire.ClassUrgent:
 		return 1
@@ -121,7 +121,7 @@
 			"push": func(t *rapid.T) {
 				e := &Entry[int]{
 					Org: orgs.Draw(t, "org"), Class: wire.Class(rapid.IntRange(0, 3).Draw(t, "class")),
-					Aside: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, Value: len(all),
+					Isolated: rapid.IntRange(0, 9).Draw(t, "isolated") == 0, Value: len(all),
 				}
 				ref.push(e)
 				o.Push(e)
--- a/pkg/fair/view.go
+++ b/pkg/fair/view.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Orgs calls f for each organisation that has a counter, in no particular order.
-func (o *Order[T]) Orgs(f func(org string)) {
+// EachOrg calls f for each organisation that has a counter, in no particular order.
+func (o *Order[T]) EachOrg(f func(org string)) {
 	for org := range o.accounts {
 		f(org)
 	}
--- a/pkg/keeper/claim.go
+++ b/pkg/keeper/claim.go
@@ -50,7 +50,7 @@
 }
 
 func (k *Keeper) enqueue(r *router, c *claim) {
-	c.entry = &fair.Entry[*claim]{Org: c.Org, Class: c.Class, Aside: k.deaths(c) > 0, Since: c.since, Value: c}
+	c.entry = &fair.Entry[*claim]{Org: c.Org, Class: c.Class, Isolated: k.deaths(c) > 0, WaitingSince: c.since, Value: c}
 	r.waiting[c.id] = c
 	k.order.Push(c.entry)
 	k.expiry.set(c, c.until)
--- a/pkg/keeper/configure.go
+++ b/pkg/keeper/configure.go
@@ -64,7 +64,7 @@
 		k.order.SetWeight(org, w)
 	}
 	var removed []string
-	k.order.Orgs(func(org string) {
+	k.order.EachOrg(func(org string) {
 		if _, ok := weights[org]; !ok && k.orgSlots[org] == 0 {
 			removed = append(removed, org)
 		}
--- a/pkg/keeper/done.go
+++ b/pkg/keeper/done.go
@@ -48,7 +48,7 @@
 }
 
 func (k *Keeper) observe(s *slot, d wire.Done, now time.Time) {
-	s.upstream.limiter.Ended(limit.Sample{
+	s.upstream.limiter.Record(limit.Sample{
 		Org:     s.org,
 		Outcome: d.Outcome,
 		FirstMs: d.FirstMs,
--- a/pkg/keeper/next.go
+++ b/pkg/keeper/next.go
@@ -35,7 +35,7 @@
 	p.withinShare = free <= k.o.ReserveUrgent+k.headroomSlots(now)
 	e := k.order.Pick(p.usable)
 	for _, s := range p.suspects {
-		k.order.SetAside(s)
+		k.order.Isolate(s)
 	}
 	if e == nil {
 		return len(p.suspects) > 0
--- a/pkg/keeper/pace.go
+++ b/pkg/keeper/pace.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if p.slow++; p.slow >= slowWindows {
-		u.limiter.Slow(now)
+		u.limiter.Eject(now)
 		p.slow = 0
 	}
 }
--- a/pkg/keeper/picker.go
+++ b/pkg/keeper/picker.go
@@ -35,7 +35,7 @@
 		return false
 	case deaths == 0:
 		p.choice, p.alone = p.choose(c), false
-	case e.Aside:
+	case e.Isolated:
 		p.choice, p.alone = p.chooseIdle(c), true
 	default:
 		p.suspects = append(p.suspects, e)
--- a/pkg/keeper/suspect.go
+++ b/pkg/keeper/suspect.go
@@ -66,7 +66,7 @@
 				k.drop(c)
 				k.refuse(c.key, wire.RefusedQuarantine, 0)
 			case n > 0:
-				k.order.SetAside(c.entry)
+				k.order.Isolate(c.entry)
 			}
 		}
 	}
--- a/pkg/limit/engine_test.go
+++ b/pkg/limit/engine_test.go
@@ -22,7 +22,7 @@
 				continue
 			}
 			first := starts[i] + 20 - granted[i]
-			l.Ended(served(float64(first), len(ends), epoch.Add(time.Duration(granted[i])*time.Millisecond)), at)
+			l.Record(served(float64(first), len(ends), epoch.Add(time.Duration(granted[i])*time.Millisecond)), at)
 			granted, starts, ends = removeAt(granted, i), removeAt(starts, i), removeAt(ends, i)
 			i--
 		}
--- a/pkg/limit/limiter.go
+++ b/pkg/limit/limiter.go
@@ -94,17 +94,17 @@
 // Probing reports whether an ejected upstream may now run a single request as a probe.
 func (l *Limiter) Probing(now time.Time) bool { return l.health.probing(now) }
 
-// Slow takes the upstream out of use as after a crash: requests that run there go on,
+// Eject takes the upstream out of use as after a crash: requests that run there go on,
 // and the upstream is probed after the backoff.
-func (l *Limiter) Slow(now time.Time) { l.health.eject(now, now) }
+func (l *Limiter) Eject(now time.Time) { l.health.eject(now, now) }
 
-// Retry returns when an ejected upstream may be probed; false when it isn't ejected.
-func (l *Limiter) Retry(now time.Time) (at time.Time, out bool) {
+// ProbeAt returns when an ejected upstream may be probed; false when it isn't ejected.
+func (l *Limiter) ProbeAt(now time.Time) (at time.Time, ejected bool) {
 	return l.health.downUntil, l.health.ejected(now)
 }
 
-// Ended records the end of a request.
-func (l *Limiter) Ended(s Sample, now time.Time) {
+// Record updates the limit and the upstream's health with the end of a request.
+func (l *Limiter) Record(s Sample, now time.Time) {
 	switch s.Outcome {
 	case wire.OutcomeDied, wire.OutcomeUnreachable:
 		l.health.eject(s.Granted, now)
--- a/pkg/limit/limiter_test.go
+++ b/pkg/limit/limiter_test.go
@@ -25,14 +25,14 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			granted := now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "grantedMsAgo")) * time.Millisecond)
 			for range rapid.IntRange(1, 50).Draw(t, "requests") {
-				l.Ended(Sample{
+				l.Record(Sample{
 					Outcome: wire.Outcome(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3, 4}).Draw(t, "outcome")),
 					FirstMs: rapid.Uint32().Draw(t, "firstMs"), StepUs: rapid.Uint32().Draw(t, "stepUs"),
 					Org: "a", Granted: granted, Running: rapid.IntRange(0, 50).Draw(t, "running"),
 				}, now)
 			}
 			n := l.Limit(now)
-			if at, ejected := l.Retry(now); ejected {
+			if at, ejected := l.ProbeAt(now); ejected {
 				if n != 0 || at.Sub(now) > maxBackoff {
 					t.Fatalf("limit %d, ejected for %v; want 0 and at most the maximum backoff", n, at.Sub(now))
 				}
@@ -50,7 +50,7 @@
 		l := New(8, 16)
 		factors := rapid.SliceOfN(rapid.Float64Range(0.5, 1.5), 64, 64).Draw(t, "factors")
 		for i := range 2000 {
-			l.Ended(served(200*factors[i%64], l.Limit(epoch), epoch), epoch)
+			l.Record(served(200*factors[i%64], l.Limit(epoch), epoch), epoch)
 			if i > 400 && l.Limit(epoch) != 16 {
 				t.Fatalf("limit %d after %d samples", l.Limit(epoch), i)
 			}
@@ -70,7 +70,7 @@
 		if n > knee {
 			first += 300 * float64(n-knee) / knee
 		}
-		l.Ended(served(first, n, epoch), epoch)
+		l.Record(served(first, n, epoch), epoch)
 		if i > 2000 && (n < knee*3/4 || n > knee*2) {
 			t.Fatalf("limit %d after %d samples, knee %d", n, i, knee)
 		}
@@ -84,7 +84,7 @@
 	run := func(n int, ms float64) (lowest int) {
 		lowest = 8
 		for range n {
-			l.Ended(served(ms, l.Limit(epoch), epoch), epoch)
+			l.Record(served(ms, l.Limit(epoch), epoch), epoch)
 			lowest = min(lowest, l.Limit(epoch))
 		}
 		return lowest
@@ -107,11 +107,11 @@
 	crash := Sample{Outcome: wire.OutcomeDied, Granted: epoch}
 	now := epoch
 	for range 8 {
-		l.Ended(crash, now)
+		l.Record(crash, now)
 	}
 	wait := minBackoff
 	for range 10 {
-		at, ejected := l.Retry(now)
+		at, ejected := l.ProbeAt(now)
 		if !ejected || l.Limit(now) != 0 || at.Sub(now) != wait {
 			t.Fatalf("ejected %v, backoff %v; want ejected, backoff %v", ejected, at.Sub(now), wait)
 		}
@@ -119,12 +119,12 @@
 		if l.Limit(now) != 1 || !l.Probing(now) {
 			t.Fatalf("limit %d during the probe, want 1", l.Limit(now))
 		}
-		l.Ended(Sample{Outcome: wire.OutcomeDied, Granted: now}, now)
+		l.Record(Sample{Outcome: wire.OutcomeDied, Granted: now}, now)
 		wait = min(2*wait, maxBackoff)
 	}
 	now = now.Add(maxBackoff)
-	l.Ended(served(100, 1, now), now)
-	l.Ended(crash, now) // a late report of the first crash
+	l.Record(served(100, 1, now), now)
+	l.Record(crash, now) // a late report of the first crash
 	if l.Limit(now) != 8 {
 		t.Fatalf("limit %d after a successful probe, want 8", l.Limit(now))
 	}
@@ -134,7 +134,7 @@
 // would punish the others; consecutive failures of several organisations do eject it.
 func TestFailuresOfOneOrganisation(t *testing.T) {
 	l := New(8, 0)
-	fail := func(org string) { l.Ended(Sample{Org: org, Outcome: wire.OutcomeFailed, Granted: epoch}, epoch) }
+	fail := func(org string) { l.Record(Sample{Org: org, Outcome: wire.OutcomeFailed, Granted: epoch}, epoch) }
 	for range 100 {
 		fail("a")
 	}
--- a/pkg/slopes/pair.go
+++ b/pkg/slopes/pair.go
@@ -55,7 +55,7 @@
 		return nil, nil, err
 	}
 	w := &world{index: index, keeper: keptBy, self: self, alive: []wire.RouterID{accepting}}
-	c := claimant.New(w, lifeSender{t}, claimant.Options{Self: self, Incarnation: 1, MaxQueued: 1 << 16, OrgQueued: func(string) int { return 1 << 16 }})
+	c := claimant.New(w, lifeSender{t}, claimant.Options{Self: self, Incarnation: 1, MaxQueued: 1 << 16, MaxQueuedPerOrg: func(string) int { return 1 << 16 }})
 	d := keeping.New(w, lifeSender{t}, keeping.Options{Keeper: keeper.Options{}, Log: silent()})
 	late.set(router{c, d})
 	p.group.Go(func() { c.Run(ctx) })
