--- a/pkg/forward/abort.go
+++ b/pkg/forward/abort.go
@@ -2,56 +2,57 @@
 
 import "sync"
 
-// Abort ends a call from any goroutine; the zero value is ready. A nil *Abort ends nothing.
+// Abort cancels a call from any goroutine. The zero value is ready for use; a nil *Abort never
+// cancels.
 //
-// Guard: a call ends with its context too, by a goroutine that is started for it. On a host
-// whose processor is used up that goroutine waits behind hundreds of others, and the
-// upstream works on for nobody meanwhile. Here the goroutine that ends the call shuts the
-// connection by itself.
+// Guard: a call's context cancels it too, but in a goroutine of its own. On a host whose CPU is
+// exhausted, that goroutine waits behind hundreds of others, and the upstream works for nobody
+// meanwhile. An Abort shuts the connection down in the goroutine that cancels the call.
 type Abort struct {
-	mu    sync.Mutex
-	conn  *conn
-	ended bool
+	mu        sync.Mutex
+	conn      *conn
+	triggered bool
 }
 
-// Now shuts the connection that is in use, and lets none be used after it.
+// Now shuts down the connection in use, if any, and prevents the call from using another one.
 func (a *Abort) Now() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ended = true
+	a.triggered = true
 	if a.conn != nil {
-		a.conn.shut()
+		a.conn.shutdown()
 	}
 }
 
-// hold notes that c is in use. It reports false when the call has been ended.
-func (a *Abort) hold(c *conn) bool {
+// attach records that the call uses c. It returns false if the call has been canceled.
+func (a *Abort) attach(c *conn) bool {
 	if a == nil {
 		return true
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	return !a.ended
+	return !a.triggered
 }
 
-// release notes that no connection is in use. It reports false when the last one was shut.
-func (a *Abort) release() bool {
+// detach records that the call uses no connection. It returns false if the call has been canceled,
+// which shut the connection down.
+func (a *Abort) detach() bool {
 	if a == nil {
 		return true
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
-	return !a.ended
+	return !a.triggered
 }
 
-// happened reports whether the call has been ended.
-func (a *Abort) happened() bool {
+// isTriggered reports whether the call has been canceled.
+func (a *Abort) isTriggered() bool {
 	if a == nil {
 		return false
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.ended
+	return a.triggered
 }
--- a/pkg/forward/abort_test.go
+++ b/pkg/forward/abort_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller leaves while the connection to the upstream is made. No byte may go out, and the
+// A caller leaves while the connection to the upstream is being made. No byte may be sent, and the
 // error must say so.
 func TestDoSendsNothingThatIsNoLongerWanted(t *testing.T) {
 	got := make(chan error, 1)
@@ -22,13 +22,13 @@
 	c.Wanted = func() bool { return false }
 	_, err := do(t, NewPools(idHeader), c)
 	require.ErrorIs(t, err, ErrUnwanted)
-	var f *Error
-	require.True(t, errors.As(err, &f))
-	require.False(t, f.Sent)
+	var failed *Error
+	require.True(t, errors.As(err, &failed))
+	require.False(t, failed.Sent)
 	require.ErrorIs(t, <-got, io.EOF)
 }
 
-// A call is ended before its connection is made: the connection isn't used.
+// A call that is canceled before its connection is made must not use the connection.
 func TestDoUsesNoConnectionAfterAnAbort(t *testing.T) {
 	in := fakeUpstream(t, echo)
 	c := get(in, "one")
@@ -38,7 +38,8 @@
 	require.ErrorIs(t, err, ErrAborted)
 }
 
-// An answer without a length ends with its connection. Ended by us, it isn't complete.
+// The end of the connection marks the end of a response without a length. If this side ends the
+// connection, the response isn't complete.
 func TestAbortedAnswersAreNotComplete(t *testing.T) {
 	closed := make(chan error, 1)
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
@@ -49,45 +50,45 @@
 	})
 	c := get(in, "one")
 	c.Abort = new(Abort)
-	a, err := do(t, NewPools(idHeader), c)
+	resp, err := do(t, NewPools(idHeader), c)
 	require.NoError(t, err)
-	_, err = io.ReadFull(a, make([]byte, len("half")))
+	_, err = io.ReadFull(resp, make([]byte, len("half")))
 	require.NoError(t, err)
 	c.Abort.Now()
 	require.ErrorIs(t, <-closed, io.EOF)
-	_, err = a.Read(make([]byte, 1))
+	_, err = resp.Read(make([]byte, 1))
 	require.ErrorIs(t, err, ErrAborted)
-	a.Close()
+	resp.Close()
 }
 
-// A call is ended just when its answer has been read. Its connection is shut, so another
-// request must not get it.
+// A call is canceled just after its response has been read. This shuts its connection down, so no
+// other request may get it.
 func TestAbortedConnectionsAreNotKept(t *testing.T) {
 	in := fakeUpstream(t, echo)
 	ps := NewPools(idHeader)
 	c := get(in, "one")
 	c.Abort = new(Abort)
-	a, err := do(t, ps, c)
+	resp, err := do(t, ps, c)
 	require.NoError(t, err)
-	data, err := io.ReadAll(a)
+	data, err := io.ReadAll(resp)
 	require.NoError(t, err)
 	require.Equal(t, "ok", string(data))
 	c.Abort.Now()
-	a.Close()
-	require.Nil(t, ps.of(in).pop())
+	resp.Close()
+	require.Nil(t, ps.poolFor(in).popIdle())
 }
 
-// A call that went well may be ended late, when its connection serves another request.
+// A call is canceled after it has succeeded, when its connection serves another request already.
 func TestLateAbortsDontReachOtherCalls(t *testing.T) {
 	in := fakeUpstream(t, echo)
 	ps := NewPools(idHeader)
 	c := get(in, "one")
 	c.Abort = new(Abort)
-	a, err := do(t, ps, c)
+	resp, err := do(t, ps, c)
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
+	require.Equal(t, "ok", body(t, resp))
 	c.Abort.Now()
-	a, err = do(t, ps, get(in, "two"))
+	resp, err = do(t, ps, get(in, "two"))
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
+	require.Equal(t, "ok", body(t, resp))
 }
--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -6,20 +6,20 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Call is one attempt to have a request answered by one instance.
+// Call is one attempt to send a request to one instance.
 type Call struct {
 	Instance *upstream.Instance
 	Method   string
-	// URI is the request target as the caller wrote it.
+	// URI is the request target as the caller sent it.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// RequestID is what the answer must carry under the pools' id header.
+	// RequestID is the ID that the response must carry in the pools' ID header.
 	RequestID string
-	// Wanted is asked just before the first byte is sent; when it says no, none is. Nil for
-	// always.
+	// Wanted is called just before the first byte is sent; if it returns false, nothing is sent.
+	// Nil means that the call is always wanted.
 	Wanted func() bool
-	// Abort ends the call at once; nil for none.
+	// Abort, if not nil, can cancel the call at any time.
 	Abort *Abort
 }
--- a/pkg/forward/do.go
+++ b/pkg/forward/do.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	// maxStray is how many answers to other requests are skipped on a connection.
-	maxStray = 2
-	// maxStrayBody bounds what is read of one, in bytes.
+	// maxStrayResponses is the number of responses to other requests that are skipped on a
+	// connection.
+	maxStrayResponses = 2
+	// maxStrayBody is the size, in bytes, up to which the body of such a response is skipped.
 	maxStrayBody = 1 << 20
 )
 
-// Do sends c and waits for the head of its answer. The answer must be closed. All ends
-// with ctx, also the reading of the body.
+// Do sends c and waits for the header of the response, which the caller must close. Canceling ctx
+// also ends the reading of the body.
 func (ps *Pools) Do(ctx context.Context, c *Call) (*Answer, error) {
-	p := ps.of(c.Instance)
-	cn, err := p.take(ctx, time.Now())
+	p := ps.poolFor(c.Instance)
+	cn, err := p.acquire(ctx, time.Now())
 	if err != nil {
 		return nil, &Error{Stage: "connect", cause: err}
 	}
-	stop := context.AfterFunc(ctx, func() { cn.Close() })
-	a := &Answer{ctx: ctx, pool: p, conn: cn, stop: stop, abort: c.Abort}
-	if !c.Abort.hold(cn) {
-		a.Discard()
+	stopAfterFunc := context.AfterFunc(ctx, func() { cn.Close() })
+	r := &Answer{ctx: ctx, pool: p, conn: cn, stopAfterFunc: stopAfterFunc, abort: c.Abort}
+	if !c.Abort.attach(cn) {
+		r.Discard()
 		return nil, &Error{Stage: "connect", cause: ErrAborted}
 	}
-	if err := a.send(c); err != nil {
-		a.Discard()
+	if err := r.send(c); err != nil {
+		r.Discard()
 		return nil, err
 	}
-	if err := a.readHead(c, ps.idHeader); err != nil {
-		a.Discard()
+	if err := r.readHeader(c, ps.idHeader); err != nil {
+		r.Discard()
 		return nil, err
 	}
-	return a, nil
+	return r, nil
 }
 
-func writeHead(buf *bytes.Buffer, c *Call) {
+func writeHeader(buf *bytes.Buffer, c *Call) {
 	buf.WriteString(c.Method)
 	buf.WriteByte(' ')
 	buf.WriteString(c.URI)
@@ -60,44 +61,44 @@
 	buf.WriteString("\r\n")
 }
 
-// readHead reads up to the head of the answer that belongs to c.
+// readHeader reads up to the header of the response to c.
 //
-// Guard: an upstream may send a second answer to an earlier request, or a late one,
-// where ours is due. Taken for ours, one caller would get another's answer. Answers
-// name their request, so any other is read to its end and dropped.
-func (a *Answer) readHead(c *Call, idHeader string) error {
+// Guard: an upstream may send a second or a late response to an earlier request where the response
+// to this one is expected. If that were taken for this one, a caller would get another caller's
+// data. Responses carry the ID of their request, so any other one is skipped.
+func (r *Answer) readHeader(c *Call, idHeader string) error {
 	request := &http.Request{Method: c.Method}
-	for stray := 0; stray <= maxStray; stray++ {
-		resp, err := readResponse(a.conn.reader, request)
+	for stray := 0; stray <= maxStrayResponses; stray++ {
+		resp, err := readResponse(r.conn.reader, request)
 		if err != nil {
 			return &Error{Sent: true, Stage: "head", cause: err}
 		}
 		id := resp.Header.Get(idHeader)
-		if id == c.RequestID || (id == "" && a.conn.fresh) {
-			a.accept(resp)
+		if id == c.RequestID || (id == "" && r.conn.fresh) {
+			r.setHeader(resp)
 			return nil
 		}
-		if a.conn.fresh || id == "" {
-			return &Error{Sent: true, Stage: "head", cause: errors.Errorf("answer names request %q", id)}
+		if r.conn.fresh || id == "" {
+			return &Error{Sent: true, Stage: "head", cause: errors.Errorf("response has request ID %q", id)}
 		}
-		if err := skip(resp.Body); err != nil {
+		if err := discardStray(resp.Body); err != nil {
 			return &Error{Sent: true, Stage: "head", cause: err}
 		}
 	}
-	return &Error{Sent: true, Stage: "head", cause: errors.New("only answers to other requests")}
+	return &Error{Sent: true, Stage: "head", cause: errors.New("received only responses to other requests")}
 }
 
-// skip reads a stray answer to its end. What lies behind an answer that is cut off here would be taken
-// for the next answer's head.
-func skip(body io.Reader) error {
+// discardStray reads the body of a stray response to its end. If it stopped earlier, the rest would
+// be taken for the header of the next response.
+func discardStray(body io.Reader) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, maxStrayBody+1))
 	if err == nil && n > maxStrayBody {
-		err = errors.Errorf("an answer to another request has more than %d bytes", maxStrayBody)
+		err = errors.Errorf("response to another request exceeds %d bytes", maxStrayBody)
 	}
 	return errors.Trace(err)
 }
 
-// readResponse reads one answer's head and passes over interim ones.
+// readResponse reads the header of the next response and skips interim (1xx) ones.
 func readResponse(r *bufio.Reader, request *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r, request)
--- a/pkg/forward/do_test.go
+++ b/pkg/forward/do_test.go
@@ -23,14 +23,14 @@
 		if req == nil {
 			return
 		}
-		io.WriteString(c, reply(req.Header.Get(idHeader), "ok"))
+		io.WriteString(c, responseText(req.Header.Get(idHeader), "ok"))
 	}
 }
 
-func body(t *testing.T, a *Answer) string {
-	data, err := io.ReadAll(a)
+func body(t *testing.T, resp *Answer) string {
+	data, err := io.ReadAll(resp)
 	require.NoError(t, err)
-	a.Close()
+	resp.Close()
 	return string(data)
 }
 
@@ -39,31 +39,31 @@
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) { dials++; echo(c, r) })
 	ps := NewPools(idHeader)
 	for _, id := range []string{"one", "two", "three"} {
-		a, err := do(t, ps, get(in, id))
+		resp, err := do(t, ps, get(in, id))
 		require.NoError(t, err)
-		require.Equal(t, "ok", body(t, a))
+		require.Equal(t, "ok", body(t, resp))
 	}
 	require.Equal(t, 1, dials)
 }
 
-// The upstream closes a kept connection while it is idle. A request sent on it would be
-// lost, and whether it has run could not be told.
+// The upstream closes a pooled connection while it is idle. A request sent on it would be lost, and
+// it would be unknown whether it ran.
 func TestDoDoesNotUseConnectionsThatWereClosed(t *testing.T) {
 	closed := make(chan struct{})
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(r)
-		io.WriteString(c, reply("one", "first"))
+		io.WriteString(c, responseText("one", "first"))
 		c.Close()
 		close(closed)
 	}, echo)
 	ps := NewPools(idHeader)
-	a, err := do(t, ps, get(in, "one"))
+	resp, err := do(t, ps, get(in, "one"))
 	require.NoError(t, err)
-	require.Equal(t, "first", body(t, a))
+	require.Equal(t, "first", body(t, resp))
 	<-closed
-	a, err = do(t, ps, get(in, "two"))
+	resp, err = do(t, ps, get(in, "two"))
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
+	require.Equal(t, "ok", body(t, resp))
 }
 
 func TestDoTellsWhetherARequestWasSent(t *testing.T) {
@@ -79,13 +79,13 @@
 	in := fakeUpstream(t, func(_ net.Conn, r *bufio.Reader) { readRequest(r) })
 	_, err = do(t, NewPools(idHeader), get(in, "one"))
 	require.True(t, errors.As(err, &failed))
-	require.True(t, failed.Sent, "it may have run")
+	require.True(t, failed.Sent, "the request may have run")
 }
 
-// Bodies around the sizes at which they are sent in another way arrive whole, also when the
-// upstream takes long to read them, and their connection is kept.
+// Bodies around the sizes at which the way of sending changes must arrive complete, even at an
+// upstream that is slow to read, and their connections must be reused.
 func TestDoSendsBodiesOfAllSizes(t *testing.T) {
-	for _, size := range []int{1, inlineBody, inlineBody + 1, JoinedBody, JoinedBody + 1, 4 << 20} {
+	for _, size := range []int{1, maxInlineBody, maxInlineBody + 1, JoinedBody, JoinedBody + 1, 4 << 20} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
 			sent := strings.Repeat("0123456789abcdef", size/16+1)[:size]
 			var got [2]string
@@ -98,16 +98,16 @@
 					time.Sleep(10 * time.Millisecond)
 					data, _ := io.ReadAll(req.Body)
 					got[i] = string(data)
-					io.WriteString(c, reply(id, "ok"))
+					io.WriteString(c, responseText(id, "ok"))
 				}
 			})
 			ps := NewPools(idHeader)
 			for _, id := range []string{"one", "two"} {
 				call := get(in, id)
 				call.Method, call.Body = http.MethodPost, []byte(sent)
-				a, err := do(t, ps, call)
+				resp, err := do(t, ps, call)
 				require.NoError(t, err)
-				require.Equal(t, "ok", body(t, a))
+				require.Equal(t, "ok", body(t, resp))
 			}
 			require.Equal(t, sent, got[0])
 			require.Equal(t, sent, got[1])
@@ -115,7 +115,7 @@
 	}
 }
 
-// The socket's buffer is full to the brim. What it doesn't take is written when there is room.
+// What doesn't fit the socket's buffer must be written when there is room.
 func TestDoSendsWhatTheSocketDidNotTake(t *testing.T) {
 	sent := strings.Repeat("0123456789abcdef", JoinedBody/16)
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
@@ -126,25 +126,25 @@
 			return
 		}
 		data, _ := io.ReadAll(req.Body)
-		io.WriteString(c, reply("one", strconv.FormatBool(string(data) == sent)))
+		io.WriteString(c, responseText("one", strconv.FormatBool(string(data) == sent)))
 	})
 	ps := NewPools(idHeader)
-	p := ps.of(in)
-	cn, err := p.take(t.Context(), time.Now())
+	p := ps.poolFor(in)
+	cn, err := p.acquire(t.Context(), time.Now())
 	require.NoError(t, err)
 	require.NoError(t, cn.Conn.(*net.TCPConn).SetWriteBuffer(1)) // the kernel's least
-	cn.until = time.Now().Add(time.Minute)
-	p.put(cn)
+	cn.idleDeadline = time.Now().Add(time.Minute)
+	p.release(cn)
 	call := get(in, "one")
 	call.Method, call.Body = http.MethodPost, []byte(sent)
-	a, err := do(t, ps, call)
+	resp, err := do(t, ps, call)
 	require.NoError(t, err)
-	require.NotNil(t, a.written)
-	require.Equal(t, "true", body(t, a))
+	require.NotNil(t, resp.bodySent)
+	require.Equal(t, "true", body(t, resp))
 }
 
-// A request's body is in memory that serves another request as soon as Do has returned. What
-// the upstream reads only then must be this request's all the same.
+// A body's memory is reused as soon as Do has returned. The upstream must receive the original
+// bytes even if it reads them later.
 func TestDoLeavesTheBodyAlone(t *testing.T) {
 	sent := strings.Repeat("0123456789abcdef", JoinedBody/16)
 	overwritten := make(chan struct{})
@@ -154,48 +154,48 @@
 		if err != nil {
 			return
 		}
-		io.WriteString(c, reply("one", "ok")) // an early answer
+		io.WriteString(c, responseText("one", "ok")) // an early response
 		<-overwritten
 		data, _ := io.ReadAll(req.Body)
 		got <- string(data) == sent
 	})
 	ps := NewPools(idHeader)
-	p := ps.of(in)
-	cn, err := p.take(t.Context(), time.Now())
+	p := ps.poolFor(in)
+	cn, err := p.acquire(t.Context(), time.Now())
 	require.NoError(t, err)
 	require.NoError(t, cn.Conn.(*net.TCPConn).SetWriteBuffer(1)) // the kernel's least
 	require.NoError(t, cn.Conn.(*net.TCPConn).SetReadBuffer(1))
-	cn.until = time.Now().Add(time.Minute)
-	p.put(cn)
+	cn.idleDeadline = time.Now().Add(time.Minute)
+	p.release(cn)
 	call := get(in, "one")
 	call.Method, call.Body = http.MethodPost, []byte(sent)
-	a, err := do(t, ps, call)
+	resp, err := do(t, ps, call)
 	require.NoError(t, err)
 	clear(call.Body)
 	close(overwritten)
 	require.True(t, <-got)
-	a.Close()
+	resp.Close()
 }
 
-// An upstream rejects a long request before it has read it. The rest of the body is on its
-// way; another request on that connection would be read as its end.
+// An upstream rejects a long request before it has read all of it. The rest of the body is still
+// being sent, so another request on that connection would be taken for its end.
 func TestDoDoesNotKeepConnectionsWithBodiesUnread(t *testing.T) {
 	second := make(chan string, 1)
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
-			io.WriteString(c, reply("one", "no"))
+			io.WriteString(c, responseText("one", "no"))
 			<-second
 		}
 	}, echo)
 	call := get(in, "one")
 	call.Method, call.Body = http.MethodPost, []byte(strings.Repeat("x", 8<<20))
 	ps := NewPools(idHeader)
-	a, err := do(t, ps, call)
+	resp, err := do(t, ps, call)
 	require.NoError(t, err)
-	require.Equal(t, "no", body(t, a))
-	a, err = do(t, ps, get(in, "two"))
+	require.Equal(t, "no", body(t, resp))
+	resp, err = do(t, ps, get(in, "two"))
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
+	require.Equal(t, "ok", body(t, resp))
 	close(second)
 }
 
@@ -205,19 +205,19 @@
 		readRequest(r)
 		io.WriteString(c, head)
 	})
-	a, err := do(t, NewPools(idHeader), get(in, "one"))
+	resp, err := do(t, NewPools(idHeader), get(in, "one"))
 	require.NoError(t, err)
-	require.Equal(t, "all", body(t, a))
+	require.Equal(t, "all", body(t, resp))
 
 	reset := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(r)
 		io.WriteString(c, head)
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	a, err = do(t, NewPools(idHeader), get(reset, "one"))
+	resp, err = do(t, NewPools(idHeader), get(reset, "one"))
 	if err == nil {
-		_, err = io.ReadAll(a)
-		a.Close()
+		_, err = io.ReadAll(resp)
+		resp.Close()
 	}
 	require.Error(t, err)
 }
@@ -227,15 +227,15 @@
 		readRequest(r)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: one\r\nContent-Length: 10\r\n\r\nshort")
 	})
-	a, err := do(t, NewPools(idHeader), get(in, "one"))
+	resp, err := do(t, NewPools(idHeader), get(in, "one"))
 	require.NoError(t, err)
-	_, err = io.ReadAll(a)
+	_, err = io.ReadAll(resp)
 	require.Error(t, err)
-	a.Close()
+	resp.Close()
 }
 
-// A caller leaves. Its engine must notice, or it works on for nobody: the connection is
-// closed, though no answer has come yet.
+// A caller leaves before a response has arrived. The connection must be closed, or the engine would
+// work for nobody.
 func TestDoEndsWithItsContext(t *testing.T) {
 	ended, began := make(chan struct{}), make(chan struct{})
 	in := fakeUpstream(t, func(_ net.Conn, r *bufio.Reader) {
--- a/pkg/forward/doc.go
+++ b/pkg/forward/doc.go
@@ -1,6 +1,6 @@
-// Package forward carries one request to one upstream and its answer back, over
-// HTTP/1.1 connections that it keeps and checks itself.
+// Package forward sends one request to one upstream and returns the response, over HTTP/1.1
+// connections that it pools and checks itself.
 //
-// Nothing is ever sent twice behind the caller's back: a request goes out once, on one
-// connection, and an Error says whether it may have reached the upstream.
+// It never retries: a request is sent once, on one connection, and an Error says whether it may
+// have reached the upstream.
 package forward
--- a/pkg/forward/ending.go
+++ b/pkg/forward/ending.go
@@ -9,48 +9,51 @@
 	"github.com/juju/errors"
 )
 
-// Ending is what ended the reading of an answer's body.
+// Ending is what ended the reading of a response's body.
 type Ending string
 
-// Endings of answers. The first three are those of a complete one.
+// Endings of responses. The first three are those of complete responses.
 const (
 	EndedByHead   Ending = "head"
 	EndedByLength Ending = "length"
 	EndedByChunk  Ending = "last_chunk"
-	// EndedByClose: the upstream closed the connection of an answer that is framed by it.
+	// EndedByClose: the upstream closed the connection, which marks the end of this response.
 	EndedByClose Ending = "close"
-	// EndedUnconfirmed: the same, and the upstream takes no new connection since.
+	// EndedUnconfirmed: as EndedByClose, but the upstream accepts no new connection afterwards.
 	EndedUnconfirmed Ending = "close_unconfirmed"
-	// EndedShort: the upstream closed the connection before the length or the last chunk.
+	// EndedShort: the upstream closed the connection before the declared length or the last chunk.
 	EndedShort   Ending = "closed_early"
 	EndedByReset Ending = "reset"
 	// EndedBySilence: the connection timed out.
 	EndedBySilence Ending = "silence"
-	// EndedHere: this side ended the call, for its caller's close, its time or a new life of the upstream.
+	// EndedHere: this router canceled the call because the caller left, the deadline passed or the
+	// upstream was restarted.
 	EndedHere Ending = "aborted"
-	// EndedBadly: the framing can't be read.
+	// EndedBadly: the framing is malformed.
 	EndedBadly Ending = "malformed"
 )
 
-// endingOf names what a read of the body gave; ours is whether the call had been ended here.
-func endingOf(framing Framing, err error, ours bool) Ending {
-	var timeout net.Error
+// endingOf returns the ending that a read error of the body stands for. aborted says that this
+// router canceled the call.
+func endingOf(framing Framing, err error, aborted bool) Ending {
+	var netErr net.Error
 	switch {
-	case ours, errors.Is(err, ErrAborted), errors.Is(err, net.ErrClosed), errors.Is(err, context.Canceled):
+	case aborted, errors.Is(err, ErrAborted), errors.Is(err, net.ErrClosed), errors.Is(err, context.Canceled):
 		return EndedHere
 	case errors.Is(err, io.EOF):
-		return orderly(framing)
+		return completeEnding(framing)
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return EndedShort
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return EndedByReset
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return EndedBySilence
 	}
 	return EndedBadly
 }
 
-func orderly(framing Framing) Ending {
+// completeEnding returns the ending of a complete response.
+func completeEnding(framing Framing) Ending {
 	switch framing {
 	case FramedByLength:
 		return EndedByLength
--- a/pkg/forward/error.go
+++ b/pkg/forward/error.go
@@ -6,32 +6,32 @@
 	"github.com/juju/errors"
 )
 
-// Causes of an Error that lie with the call itself.
+// Causes of an Error that are not the upstream's fault.
 var (
-	// ErrUnwanted is for a call whose answer nobody waits for any more.
-	ErrUnwanted = errors.New("no longer wanted")
-	// ErrAborted is for a call that its Abort has ended.
-	ErrAborted = errors.New("aborted")
+	// ErrUnwanted is the cause if nobody waits for the response any more.
+	ErrUnwanted = errors.New("request no longer wanted")
+	// ErrAborted is the cause if the call was canceled.
+	ErrAborted = errors.New("call aborted")
 )
 
-// Faults of streams that ended in order.
+// Errors of event streams whose connections ended without an error.
 const (
 	ErrInsideEvent = errors.ConstError("the stream ended inside an event")
 	ErrNoEvent     = errors.ConstError("the stream's connection was closed before its first event")
 )
 
-// Error ends an attempt without a usable answer.
+// Error is the error of a call without a usable response.
 type Error struct {
-	// Sent is whether any byte of the request may have reached the upstream. Only when
-	// it is false can the request not have run.
+	// Sent says whether any byte of the request may have reached the upstream. The request cannot
+	// have run only if it is false.
 	Sent bool
-	// Stage is what was being done: connect, send, head, body.
+	// Stage is the step that failed: connect, send, head or body.
 	Stage string
 	cause error
 }
 
-// Error gives stage and cause.
+// Error returns the stage and the cause.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %v", e.Stage, e.cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
--- a/pkg/forward/events.go
+++ b/pkg/forward/events.go
@@ -9,33 +9,34 @@
 	"github.com/flamingowind/flamingowind/pkg/sse"
 )
 
-// maxPending bounds an event that is not complete yet, in bytes.
-const maxPending = 1 << 20
+// maxEventSize is the maximum size of an incomplete event, in bytes.
+const maxEventSize = 1 << 20
 
-// Events cuts a stream of server-sent events into whole ones.
+// Events splits a stream of server-sent events into complete events.
 //
-// Guard: an upstream may break off in the middle of an event. Passed on as they come,
-// the bytes before the break and those of the upstream that goes on would join into an
-// event that neither made. Only whole events leave here.
+// Guard: an upstream may break off in the middle of an event. If its bytes were relayed as they
+// arrive, the partial event and the next upstream's bytes would join into an event that neither
+// sent. So only complete events are returned.
 type Events struct {
 	scanner sse.Scanner
-	// pending is what follows the last whole event, ready what Push gave.
-	pending, ready []byte
-	last           int64
-	seen           bool
+	// pending holds the bytes after the last complete event, output what Push returned last.
+	pending, output []byte
+	lastID          int64
+	hasLast         bool
 }
 
-// Resumed returns a cutter that drops events up to and including last.
-func Resumed(last int64) *Events { return &Events{last: last, seen: true} }
+// Resumed returns an Events that drops the events up to and including the ID last.
+func Resumed(last int64) *Events { return &Events{lastID: last, hasLast: true} }
 
-// Last is the id of the newest event that was let through.
-func (e *Events) Last() (int64, bool) { return e.last, e.seen }
+// Last returns the ID of the newest event that was returned.
+func (e *Events) Last() (int64, bool) { return e.lastID, e.hasLast }
 
-// Push takes bytes as they came and gives the whole events that are new, and blank lines between
-// them. The result is valid until the next call. ok is false when an event grows beyond all bounds.
+// Push adds bytes of the stream and returns the complete events that are new, with any blank lines
+// between them, and the number of those events. The result is valid until the next call. ok is
+// false if an incomplete event exceeds maxEventSize.
 func (e *Events) Push(data []byte) (whole []byte, count int, ok bool) {
 	e.pending = append(e.pending, data...)
-	e.ready = e.ready[:0]
+	e.output = e.output[:0]
 	begin := 0
 	for {
 		n, event := e.scanner.Scan(e.pending[begin:])
@@ -44,50 +45,51 @@
 		}
 		piece := e.pending[begin : begin+n]
 		begin += n
-		if event && e.old(piece) {
+		if event && e.isDuplicate(piece) {
 			continue
 		}
-		e.ready = append(e.ready, piece...)
+		e.output = append(e.output, piece...)
 		if event {
 			count++
 		}
 	}
 	e.pending = append(e.pending[:0], e.pending[begin:]...)
-	return e.ready, count, len(e.pending) <= maxPending
+	return e.output, count, len(e.pending) <= maxEventSize
 }
 
-// Rest is the number of bytes behind the last whole event.
+// Rest returns the number of bytes after the last complete event.
 func (e *Events) Rest() int { return len(e.pending) }
 
-// End takes the end of the stream, and gives the bytes behind the last event. It fails with
-// ErrInsideEvent where they are the beginning of another one: the stream was broken off then, however
-// orderly it ended.
+// End marks the end of the stream and returns the bytes after the last complete event. It returns
+// ErrInsideEvent if they are the beginning of another event: then the stream is incomplete, however
+// its connection ended.
 func (e *Events) End() ([]byte, error) {
 	switch {
 	case e.scanner.Inside(e.pending):
-		return nil, errors.Annotatef(ErrInsideEvent, "%d bytes after event %d", len(e.pending), e.last)
-	case e.scanner.Whole(e.pending) && e.old(e.pending):
+		return nil, errors.Annotatef(ErrInsideEvent, "%d bytes after event %d", len(e.pending), e.lastID)
+	case e.scanner.Whole(e.pending) && e.isDuplicate(e.pending):
 		return nil, nil
 	}
 	return e.pending, nil
 }
 
-// Break drops what follows the last whole event, before another upstream goes on.
+// Break drops the bytes after the last complete event, before another upstream resumes the stream.
 func (e *Events) Break() {
 	e.pending = e.pending[:0]
 	e.scanner = sse.Scanner{}
 }
 
-// old reports whether the event was let through before, and notes its id otherwise.
-func (e *Events) old(event []byte) bool {
+// isDuplicate reports whether the event's ID was returned before. It records a new ID as the last
+// one.
+func (e *Events) isDuplicate(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		return false
 	}
-	if e.seen && id <= e.last {
+	if e.hasLast && id <= e.lastID {
 		return true
 	}
-	e.last, e.seen = id, true
+	e.lastID, e.hasLast = id, true
 	return false
 }
 
--- a/pkg/forward/events_bench_test.go
+++ b/pkg/forward/events_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The cutting of a stream whose events come one by one.
+// BenchmarkEvents splits a stream whose events arrive one by one.
 func BenchmarkEvents(b *testing.B) {
 	for _, size := range []int{8, 60, 600} {
 		b.Run(fmt.Sprintf("%d bytes", size), func(b *testing.B) {
--- a/pkg/forward/events_test.go
+++ b/pkg/forward/events_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func event(n int) string { return fmt.Sprintf("id: %d\ndata: token%d\n\n", n, n) }
+func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: token%d\n\n", n, n) }
 
 func push(t *testing.T, e *Events, data string) string {
 	whole, _, ok := e.Push([]byte(data))
@@ -18,25 +18,26 @@
 	return string(whole)
 }
 
-// An engine breaks off in the middle of an event and another goes on after the last whole
-// one. Passed on as they came, the two halves would join into an event that neither made.
+// An engine breaks off in the middle of an event and another one resumes after the last complete
+// event. If the bytes were relayed as they arrive, the two parts would join into an event that
+// neither sent.
 func TestEventsGoOnAfterTheLastWholeOne(t *testing.T) {
 	e := new(Events)
-	require.Equal(t, event(1)+event(2), push(t, e, event(1)+event(2)+"id: 3\ndata: tok"))
+	require.Equal(t, eventText(1)+eventText(2), push(t, e, eventText(1)+eventText(2)+"id: 3\ndata: tok"))
 	last, _ := e.Last()
 	require.EqualValues(t, 2, last)
 	e.Break()
-	require.Equal(t, event(3), push(t, e, event(2)+event(3)), "an event that was let through is not let through again")
+	require.Equal(t, eventText(3), push(t, e, eventText(2)+eventText(3)), "an event must not be returned twice")
 	require.Zero(t, e.Rest())
 }
 
 func TestEventsOfAResumedCaller(t *testing.T) {
 	e := Resumed(2)
-	require.Equal(t, event(3), push(t, e, event(1)+event(2)+event(3)))
+	require.Equal(t, eventText(3), push(t, e, eventText(1)+eventText(2)+eventText(3)))
 }
 
 func TestEventsWithoutEndAreRefused(t *testing.T) {
-	_, _, ok := new(Events).Push(bytes.Repeat([]byte("x"), maxPending+1))
+	_, _, ok := new(Events).Push(bytes.Repeat([]byte("x"), maxEventSize+1))
 	require.False(t, ok)
 }
 
@@ -46,7 +47,7 @@
 		n := rapid.IntRange(0, 30).Draw(t, "events")
 		for i := range n {
 			end := rapid.SampledFrom([]string{"\n", "\r\n", "\r"}).Draw(t, "end")
-			all.WriteString(strings.ReplaceAll(event(i), "\n", end))
+			all.WriteString(strings.ReplaceAll(eventText(i), "\n", end))
 		}
 		e, got, count, data := new(Events), "", 0, all.String()
 		for len(data) > 0 {
@@ -64,13 +65,13 @@
 			t.Fatalf("got %q, want %q", got, all.String())
 		}
 		if last, _ := e.Last(); count < n-1 || n > 0 && last != int64(n-1) {
-			t.Fatalf("%d events of %d, the last is %d", count, n, last)
+			t.Fatalf("got %d events of %d, the last ID is %d", count, n, last)
 		}
 	})
 }
 
 func FuzzEvents(f *testing.F) {
-	f.Add([]byte(event(1)+event(2)), 3)
+	f.Add([]byte(eventText(1)+eventText(2)), 3)
 	f.Add([]byte("id: x\n\n\n\nid:\n\n"), 1)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		cut = max(0, min(cut, len(data)))
@@ -79,7 +80,7 @@
 		got := len(first)
 		second, _, _ := e.Push(data[cut:])
 		if got+len(second)+e.Rest() > len(data) {
-			t.Fatal("more bytes leave than came")
+			t.Fatal("more bytes were returned than pushed")
 		}
 	})
 }
--- a/pkg/forward/fake_test.go
+++ b/pkg/forward/fake_test.go
@@ -14,11 +14,11 @@
 
 const idHeader = "Request-Id"
 
-// script plays an upstream on one connection.
-type script func(c net.Conn, r *bufio.Reader)
+// connScript plays an upstream on one connection.
+type connScript func(c net.Conn, r *bufio.Reader)
 
-// fakeUpstream plays one script for each connection, in order, the last one again.
-func fakeUpstream(t *testing.T, scripts ...script) *upstream.Instance {
+// fakeUpstream runs one script per connection, in order, and repeats the last one.
+func fakeUpstream(t *testing.T, scripts ...connScript) *upstream.Instance {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -28,7 +28,7 @@
 			if err != nil {
 				return
 			}
-			go func(s script) {
+			go func(s connScript) {
 				defer c.Close()
 				s(c, bufio.NewReader(c))
 			}(scripts[min(i, len(scripts)-1)])
@@ -37,7 +37,7 @@
 	return &upstream.Instance{ID: "i", Addr: l.Addr().String()}
 }
 
-// readRequest reads a request and its body; nil when the connection has ended.
+// readRequest reads a request with its body. It returns nil if the connection has ended.
 func readRequest(r *bufio.Reader) *http.Request {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return ps.Do(ctx, c)
 }
 
-func reply(id, body string) string {
+func responseText(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
--- a/pkg/forward/framing.go
+++ b/pkg/forward/framing.go
@@ -2,25 +2,25 @@
 
 import "net/http"
 
-// Framing is how an answer tells where its body ends.
+// Framing is how the end of a response's body is marked.
 type Framing string
 
-// Framings of answers.
+// Framings of responses.
 const (
-	// FramedByHead: the status or the method allows no body.
+	// FramedByHead: the status or the request's method allows no body.
 	FramedByHead Framing = "head"
-	// FramedByLength: Content-Length.
+	// FramedByLength: by Content-Length.
 	FramedByLength Framing = "length"
-	// FramedByChunks: Transfer-Encoding, up to the last chunk.
+	// FramedByChunks: by the last chunk of a chunked Transfer-Encoding.
 	FramedByChunks Framing = "chunks"
-	// FramedByClose: nothing but the end of the connection.
+	// FramedByClose: only by the end of the connection.
 	FramedByClose Framing = "close"
 )
 
 func framingOf(resp *http.Response) Framing {
 	switch {
 	case resp.Body == http.NoBody && resp.ContentLength <= 0:
-		return framingOfNone(resp)
+		return framingOfEmpty(resp)
 	case len(resp.TransferEncoding) > 0:
 		return FramedByChunks
 	case resp.ContentLength >= 0:
@@ -29,8 +29,9 @@
 	return FramedByClose
 }
 
-// framingOfNone tells an answer whose length is zero from one that can't have a body.
-func framingOfNone(resp *http.Response) Framing {
+// framingOfEmpty distinguishes a response with a declared length of zero from one that can't have a
+// body.
+func framingOfEmpty(resp *http.Response) Framing {
 	if resp.ContentLength == 0 && resp.Header.Get("Content-Length") != "" {
 		return FramedByLength
 	}
--- a/pkg/forward/life_test.go
+++ b/pkg/forward/life_test.go
@@ -13,14 +13,14 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// born gives in with another start.
-func born(in *upstream.Instance, at int64) *upstream.Instance {
+// withStart returns a ready copy of in with another start time.
+func withStart(in *upstream.Instance, at int64) *upstream.Instance {
 	next := *in
 	next.Born, next.State = at, upstream.Ready
 	return &next
 }
 
-func listOf(list ...*upstream.Instance) *upstream.Set {
+func newSet(list ...*upstream.Instance) *upstream.Set {
 	var all []upstream.Instance
 	for _, in := range list {
 		all = append(all, *in)
@@ -28,7 +28,7 @@
 	return upstream.NewSet(all)
 }
 
-// silentOnce leaves the first connection's request without an answer and serves the others.
+// silentOnce leaves the first connection's request unanswered and serves the others.
 func silentOnce(t *testing.T) (in *upstream.Instance, arrived chan struct{}) {
 	arrived = make(chan struct{})
 	return fakeUpstream(t, func(_ net.Conn, r *bufio.Reader) {
@@ -38,8 +38,8 @@
 	}, echo), arrived
 }
 
-// attempt sends a request and gives the error that ends it.
-func attempt(t *testing.T, ps *Pools, in *upstream.Instance) chan error {
+// startAttempt sends a request and returns the channel that receives the error that ends it.
+func startAttempt(t *testing.T, ps *Pools, in *upstream.Instance) chan error {
 	ended := make(chan error, 1)
 	go func() {
 		_, err := do(t, ps, get(in, "one"))
@@ -48,121 +48,122 @@
 	return ended
 }
 
-// An engine's host is cut off, the engine dies and starts again under its ID. Its old
-// connections were never closed, so a request on one of them hangs until its caller's time is
-// over, though the list already tells of the new life. It must end then, as one that may have
-// run, and requests go to the new life on connections of their own.
+// An engine's host is disconnected, and the engine crashes and restarts under its ID. Its old
+// connections were never closed, so a request on one of them hangs until its deadline, though the
+// list already shows the new life. It must end when the list arrives, as one that may have run, and
+// further requests must go to the new life on new connections.
 func TestAttemptsAtAnEndedLifeEndWithTheNewOne(t *testing.T) {
 	in, arrived := silentOnce(t)
-	first, second := born(in, 2000), born(in, 1000)
+	first, second := withStart(in, 2000), withStart(in, 1000)
 	ps := NewPools(idHeader)
-	ps.Follow(listOf(first), time.Time{})
-	ended := attempt(t, ps, first)
+	ps.Follow(newSet(first), time.Time{})
+	ended := startAttempt(t, ps, first)
 	<-arrived
-	ps.Follow(listOf(second), time.Now())
+	ps.Follow(newSet(second), time.Now())
 	err := <-ended
-	var f *Error
-	require.True(t, errors.As(err, &f))
-	require.True(t, f.Sent, "it may have run")
-	a, err := do(t, ps, get(second, "two"))
+	var failed *Error
+	require.True(t, errors.As(err, &failed))
+	require.True(t, failed.Sent, "the request may have run")
+	resp, err := do(t, ps, get(second, "two"))
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
+	require.Equal(t, "ok", body(t, resp))
 }
 
-// The entry is gone for a while between the two lives. What was connected while the old life
-// was still listed ends all the same.
+// The entry is missing for a while between the two lives. Requests that were connected while the
+// old life was listed must end too.
 func TestAttemptsAtAnEndedLifeEndAfterAGap(t *testing.T) {
 	in, arrived := silentOnce(t)
-	first, second := born(in, 1000), born(in, 2000)
+	first, second := withStart(in, 1000), withStart(in, 2000)
 	ps := NewPools(idHeader)
-	ended := attempt(t, ps, first)
+	ended := startAttempt(t, ps, first)
 	<-arrived
-	ps.Follow(listOf(), time.Now())
-	ps.Follow(listOf(second), time.Now().Add(time.Minute))
+	ps.Follow(newSet(), time.Now())
+	ps.Follow(newSet(second), time.Now().Add(time.Minute))
 	require.Error(t, <-ended)
 }
 
-// held answers its first request once release is closed.
-func held(t *testing.T) (in *upstream.Instance, began, release chan struct{}) {
+// serveOnRelease responds to its first request after release is closed.
+func serveOnRelease(t *testing.T) (in *upstream.Instance, began, release chan struct{}) {
 	began, release = make(chan struct{}), make(chan struct{})
 	return fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		readRequest(r)
 		close(began)
 		<-release
-		io.WriteString(c, reply("one", "ok"))
+		io.WriteString(c, responseText("one", "ok"))
 		readRequest(r)
 	}), began, release
 }
 
-// The list is late: a request is placed by the old entry, and reaches the new life already.
-// Broken off with the old life's attempts, it would be lost for nothing.
+// The list lags behind: a request is placed by the old entry but already reaches the new life. It
+// must not be aborted with the requests to the old life.
 func TestAttemptsThatReachTheNewLifeAreSpared(t *testing.T) {
-	in, began, release := held(t)
-	first, second := born(in, 1000), born(in, 2000)
+	in, began, release := serveOnRelease(t)
+	first, second := withStart(in, 1000), withStart(in, 2000)
 	known := time.Now()
 	ps := NewPools(idHeader)
-	ended := attempt(t, ps, first)
+	ended := startAttempt(t, ps, first)
 	<-began
-	ps.Follow(listOf(second), known)
+	ps.Follow(newSet(second), known)
 	close(release)
 	require.NoError(t, <-ended)
 }
 
-// A router that still goes by the old entry connects after the new list has come; the next
-// news of the list must not break its request off.
+// A request that was placed by the old entry connects after the new list has arrived. The next list
+// must not abort it.
 func TestAttemptsByAnOldListAreSpared(t *testing.T) {
-	in, began, release := held(t)
-	first, second := born(in, 1000), born(in, 2000)
+	in, began, release := serveOnRelease(t)
+	first, second := withStart(in, 1000), withStart(in, 2000)
 	ps := NewPools(idHeader)
-	ps.Follow(listOf(second), time.Now())
-	ended := attempt(t, ps, first)
+	ps.Follow(newSet(second), time.Now())
+	ended := startAttempt(t, ps, first)
 	<-began
-	ps.Follow(listOf(second), time.Now())
+	ps.Follow(newSet(second), time.Now())
 	close(release)
 	require.NoError(t, <-ended)
 }
 
-// An engine that leaves is taken off the list and serves on; its requests are not broken off.
+// An engine that drains is removed from the list and continues to serve. Its requests must not be
+// aborted.
 func TestAttemptsAtAnUnlistedEngineGoOn(t *testing.T) {
-	in, began, release := held(t)
-	first := born(in, 1000)
+	in, began, release := serveOnRelease(t)
+	first := withStart(in, 1000)
 	ps := NewPools(idHeader)
-	ended := attempt(t, ps, first)
+	ended := startAttempt(t, ps, first)
 	<-began
-	ps.Follow(listOf(), time.Now())
-	ps.sweep(listOf(), time.Now())
+	ps.Follow(newSet(), time.Now())
+	ps.sweep(newSet(), time.Now())
 	close(release)
 	require.NoError(t, <-ended)
 }
 
-// An entry that can't be used says nothing of the engine behind it, and may be mended with
-// the same life: requests that run go on, and connections are kept again afterwards.
+// An unusable entry says nothing about the engine behind it and may be corrected within the same
+// life. Running requests must continue, and connections must be reused afterwards.
 func TestUnusableEntryEndsNoAttempt(t *testing.T) {
 	dials := 0
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) { dials++; echo(c, r) })
-	first := born(in, 1000)
+	first := withStart(in, 1000)
 	ps := NewPools(idHeader)
-	a, err := do(t, ps, get(first, "one"))
+	resp, err := do(t, ps, get(first, "one"))
 	require.NoError(t, err)
-	ps.Follow(listOf(&upstream.Instance{ID: in.ID, State: upstream.Unusable}), time.Now())
-	ps.Follow(listOf(first), time.Now())
-	require.Equal(t, "ok", body(t, a))
-	a, err = do(t, ps, get(first, "two"))
+	ps.Follow(newSet(&upstream.Instance{ID: in.ID, State: upstream.Unusable}), time.Now())
+	ps.Follow(newSet(first), time.Now())
+	require.Equal(t, "ok", body(t, resp))
+	resp, err = do(t, ps, get(first, "two"))
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
+	require.Equal(t, "ok", body(t, resp))
 	require.Equal(t, 1, dials)
 }
 
-// Idle connections to an ended life are not kept, and its pool is dropped once nothing uses it.
+// Idle connections to an ended life must be closed, and its pool dropped once it is empty.
 func TestPoolsOfEndedLivesAreDropped(t *testing.T) {
 	in := fakeUpstream(t, echo)
-	first, second := born(in, 1000), born(in, 2000)
+	first, second := withStart(in, 1000), withStart(in, 2000)
 	ps := NewPools(idHeader)
-	a, err := do(t, ps, get(first, "one"))
+	resp, err := do(t, ps, get(first, "one"))
 	require.NoError(t, err)
-	require.Equal(t, "ok", body(t, a))
-	ps.Follow(listOf(second), time.Now())
-	ps.sweep(listOf(second), time.Now())
+	require.Equal(t, "ok", body(t, resp))
+	ps.Follow(newSet(second), time.Now())
+	ps.sweep(newSet(second), time.Now())
 	require.Empty(t, ps.pools)
-	require.Empty(t, ps.unlisted)
+	require.Empty(t, ps.listedUntil)
 }
--- a/pkg/forward/pool.go
+++ b/pkg/forward/pool.go
@@ -8,56 +8,56 @@
 	"github.com/flamingowind/flamingowind/pkg/traffic"
 )
 
-// pool keeps the connections to one life of an instance, the idle ones with the most recently
-// used first.
+// pool keeps the connections to one life of an instance. Idle ones are reused in last-in, first-out
+// order.
 type pool struct {
 	addr  string
 	meter *traffic.Meter
 
 	mu   sync.Mutex
 	idle []*conn
-	// busy are the connections that attempts use.
-	busy   map[*conn]struct{}
-	closed bool
-	// leaving is whether the instance is about to end, or no longer listed.
-	leaving bool
+	// busy holds the connections that calls are using.
+	busy          map[*conn]struct{}
+	reuseDisabled bool
+	// draining says that the instance is about to terminate or is no longer listed.
+	draining bool
 }
 
 func newPool(addr string, m *traffic.Meter) *pool {
 	return &pool{addr: addr, meter: m, busy: make(map[*conn]struct{})}
 }
 
-// take gives a kept connection, or a new one, which is busy until put or done.
-func (p *pool) take(ctx context.Context, now time.Time) (*conn, error) {
+// acquire returns an idle connection or else a new one. It is busy until release or discard.
+func (p *pool) acquire(ctx context.Context, now time.Time) (*conn, error) {
 	for {
-		c := p.pop()
+		c := p.popIdle()
 		if c == nil {
 			return p.dial(ctx)
 		}
-		if now.Before(c.until) && c.quiet() {
+		if now.Before(c.idleDeadline) && c.healthy() {
 			return c, nil
 		}
-		p.done(c)
+		p.discard(c)
 	}
 }
 
 // dial opens a connection.
 func (p *pool) dial(ctx context.Context) (*conn, error) {
-	// Guard: taken after the dial, the time could lie after the start of a new life that
-	// hasn't taken the connection yet; end would spare one that the old life holds.
+	// Guard: if the time were taken after the dial, it could be later than the start of a new life,
+	// and abortOpenedBefore would spare a connection to the old life.
 	opened := time.Now()
 	c, err := dial(ctx, p.addr, p.meter)
 	if err != nil {
 		return nil, err
 	}
-	c.opened = opened
+	c.openedAt = opened
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.busy[c] = struct{}{}
 	return c, nil
 }
 
-func (p *pool) pop() *conn {
+func (p *pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -71,33 +71,33 @@
 	return c
 }
 
-// put keeps c for later use.
-func (p *pool) put(c *conn) {
+// release returns a busy connection to the pool for reuse.
+func (p *pool) release(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy, c)
-	if p.closed {
+	if p.reuseDisabled {
 		c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// done closes a busy connection.
-func (p *pool) done(c *conn) {
+// discard closes a busy connection.
+func (p *pool) discard(c *conn) {
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy, c)
 }
 
-// sweep closes the connections that are past their time.
-func (p *pool) sweep(now time.Time) {
+// closeExpired closes the idle connections whose deadline has passed.
+func (p *pool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.Before(c.until) {
+		if now.Before(c.idleDeadline) {
 			kept = append(kept, c)
 			continue
 		}
@@ -109,43 +109,43 @@
 	p.idle = kept
 }
 
-// close closes the idle connections, now and as attempts give theirs back.
-func (p *pool) close() {
+// disableReuse closes the idle connections, and makes release close the busy ones.
+func (p *pool) disableReuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closed, p.leaving = true, true
+	p.reuseDisabled, p.draining = true, true
 	for _, c := range p.idle {
 		c.Close()
 	}
 	p.idle = nil
 }
 
-// open makes the pool keep connections again, for a life that is on the list.
-func (p *pool) open(leaving bool) {
+// enableReuse makes the pool keep connections again, because its life is listed.
+func (p *pool) enableReuse(draining bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closed, p.leaving = false, leaving
+	p.reuseDisabled, p.draining = false, draining
 }
 
-func (p *pool) isLeaving() bool {
+func (p *pool) isDraining() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.leaving
+	return p.draining
 }
 
-// end breaks off the attempts on connections that were opened before the given time.
-func (p *pool) end(before time.Time) {
+// abortOpenedBefore closes the busy connections that were opened before the given time.
+func (p *pool) abortOpenedBefore(before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.busy {
-		if c.opened.Before(before) {
+		if c.openedAt.Before(before) {
 			c.Close()
 		}
 	}
 }
 
-// unused reports whether nothing is left of the pool.
-func (p *pool) unused() bool {
+// isEmpty reports whether the pool has no connections.
+func (p *pool) isEmpty() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle) == 0 && len(p.busy) == 0
--- a/pkg/forward/pools.go
+++ b/pkg/forward/pools.go
@@ -9,12 +9,12 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// sweepEvery is the pause between two looks for idle connections past their time.
-const sweepEvery = time.Second
+// sweepInterval is the time between two searches for expired idle connections.
+const sweepInterval = time.Second
 
-// poolKey is whom a pool's connections lead to. The address alone passes to another upstream,
-// and the ID alone to a new life of it; their connections are others. An entry's address may
-// be corrected without a new life.
+// poolKey identifies the process that a pool's connections lead to. Another upstream may take over
+// the address, and the same ID may start a new life. The address of an entry may also be corrected
+// within the same life.
 type poolKey struct {
 	life upstream.Life
 	addr string
@@ -22,99 +22,100 @@
 
 func keyOf(in *upstream.Instance) poolKey { return poolKey{life: in.Life(), addr: in.Addr} }
 
-// lists reports whether set has the upstream to which a pool's connections lead.
-func lists(set *upstream.Set, key poolKey) bool {
+// isListed reports whether set contains the life at the address of key.
+func isListed(set *upstream.Set, key poolKey) bool {
 	return set.Lives(key.life) && set.Get(key.life.ID).Addr == key.addr
 }
 
-// stays reports whether set has that upstream, and it isn't about to end.
-func stays(set *upstream.Set, key poolKey) bool {
-	return lists(set, key) && set.Get(key.life.ID).State == upstream.Ready
+// isReady reports whether set lists that life as ready, so that it isn't about to terminate.
+func isReady(set *upstream.Set, key poolKey) bool {
+	return isListed(set, key) && set.Get(key.life.ID).State == upstream.Ready
 }
 
-// Pools keeps the connections to all instances.
+// Pools holds a connection pool for each life of an instance.
 type Pools struct {
-	// idHeader is the header in which an answer names its request.
+	// idHeader is the header in which a response carries the ID of its request.
 	idHeader string
-	// meter counts what the connections carry.
+	// meter counts the bytes on all connections.
 	meter traffic.Meter
 
 	mu    sync.Mutex
 	pools map[poolKey]*pool
-	// list is the newest one that Follow took, nil before the first.
-	list *upstream.Set
-	// unlisted holds, for each life that is no longer listed, until when it surely was.
-	unlisted map[poolKey]time.Time
+	// current is the newest list that Follow was given; nil before the first one.
+	current *upstream.Set
+	// listedUntil holds, for each life that is no longer listed, a time until which it was
+	// certainly listed.
+	listedUntil map[poolKey]time.Time
 }
 
-// NewPools returns pools for upstreams that name a request in idHeader.
+// NewPools returns pools for upstreams that echo a request's ID in idHeader.
 func NewPools(idHeader string) *Pools {
-	return &Pools{idHeader: idHeader, pools: make(map[poolKey]*pool), unlisted: make(map[poolKey]time.Time)}
+	return &Pools{idHeader: idHeader, pools: make(map[poolKey]*pool), listedUntil: make(map[poolKey]time.Time)}
 }
 
-// Traffic is what the connections to upstreams carried so far.
+// Traffic returns the number of bytes that connections to upstreams have carried.
 func (ps *Pools) Traffic() traffic.Bytes { return ps.meter.Total() }
 
-// of finds or makes the pool of an instance.
-func (ps *Pools) of(in *upstream.Instance) *pool {
+// poolFor returns the pool of an instance and creates it if necessary.
+func (ps *Pools) poolFor(in *upstream.Instance) *pool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	key := keyOf(in)
 	p := ps.pools[key]
 	if p == nil {
 		p = newPool(in.Addr, &ps.meter)
-		p.leaving = in.State == upstream.Draining || ps.list != nil && !stays(ps.list, key)
+		p.draining = in.State == upstream.Draining || ps.current != nil && !isReady(ps.current, key)
 		ps.pools[key] = p
-		if ps.list != nil && !lists(ps.list, key) {
-			// A request that was placed by the list before: it is connected after that one
-			// was current, so Follow must spare it.
-			ps.unlisted[key] = time.Time{}
+		if ps.current != nil && !isListed(ps.current, key) {
+			// The request was placed by the previous list and connects after that list was current,
+			// so Follow must spare it.
+			ps.listedUntil[key] = time.Time{}
 		}
 	}
 	return p
 }
 
-// Follow takes a new list of instances; known is when the list before it was last known to be
-// current.
+// Follow takes over a new list of instances. lastCurrent is the last time at which the previous
+// list was known to be current.
 //
-// Guard: a life that ended without a word (its host was cut off, then started again) leaves
-// attempts on connections that nobody answers any more; they would hang until the kernel or
-// the caller gives up. They are broken off as soon as the list tells of a new life under the
-// ID. The list is late: what was connected after it last showed the old life may have reached
-// the new one already, and is left alone.
-func (ps *Pools) Follow(set *upstream.Set, known time.Time) {
+// Guard: a process may end without closing its connections, for example if its host is disconnected
+// and then restarted. Requests on such connections would hang until the kernel or the caller gives
+// up, so they are aborted as soon as the list shows a new life under the ID. The list lags behind:
+// a connection that was opened after the list last showed the old life may lead to the new one
+// already, and is left open.
+func (ps *Pools) Follow(set *upstream.Set, lastCurrent time.Time) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.list = set
+	ps.current = set
 	for key, p := range ps.pools {
-		if lists(set, key) {
-			delete(ps.unlisted, key)
-			p.open(!stays(set, key))
+		if isListed(set, key) {
+			delete(ps.listedUntil, key)
+			p.enableReuse(!isReady(set, key))
 			continue
 		}
-		if _, ok := ps.unlisted[key]; !ok {
-			ps.unlisted[key] = known
+		if _, ok := ps.listedUntil[key]; !ok {
+			ps.listedUntil[key] = lastCurrent
 		}
-		p.close()
-		if follows(set.Get(key.life.ID), key.life) {
-			p.end(ps.unlisted[key])
+		p.disableReuse()
+		if isNewLife(set.Get(key.life.ID), key.life) {
+			p.abortOpenedBefore(ps.listedUntil[key])
 		}
 	}
 }
 
-// follows reports whether present is surely another run of the process than life. An entry
-// that doesn't tell its start may describe the same one.
-func follows(present *upstream.Instance, life upstream.Life) bool {
-	if present == nil || present.State == upstream.Unusable || present.Born == 0 {
+// isNewLife reports whether listed is certainly another life than life. An entry without a start
+// time may describe the same one.
+func isNewLife(listed *upstream.Instance, life upstream.Life) bool {
+	if listed == nil || listed.State == upstream.Unusable || listed.Born == 0 {
 		return false
 	}
-	return present.Life() != life
+	return listed.Life() != life
 }
 
-// Run closes idle connections past their time and drops pools that nobody uses, until ctx
-// ends; then all.
+// Run closes expired idle connections and drops unused pools until ctx ends; then it closes all
+// idle connections.
 func (ps *Pools) Run(ctx context.Context, current func() *upstream.Set) {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -131,7 +132,7 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for key, p := range ps.pools {
-		p.close()
+		p.disableReuse()
 		delete(ps.pools, key)
 	}
 }
@@ -140,14 +141,14 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	for key, p := range ps.pools {
-		p.sweep(now)
-		if lists(set, key) {
+		p.closeExpired(now)
+		if isListed(set, key) {
 			continue
 		}
-		p.close()
-		if p.unused() {
+		p.disableReuse()
+		if p.isEmpty() {
 			delete(ps.pools, key)
-			delete(ps.unlisted, key)
+			delete(ps.listedUntil, key)
 		}
 	}
 }
--- a/pkg/forward/send.go
+++ b/pkg/forward/send.go
@@ -8,90 +8,90 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is read, in
-	// bytes. It fits the socket's buffer; a larger one could fill it while the upstream
-	// waits for us to read an early answer.
-	inlineBody = 4 << 10
-	// JoinedBody is the largest body that is offered to the socket together with its head, in
-	// bytes: three times a long prompt's request of 9 KB. One that is not larger isn't
-	// touched any more once Do has returned.
+	// maxInlineBody is the size, in bytes, up to which a body is written before the response is
+	// read. It fits the socket's buffer. A larger body could fill the buffer while the upstream
+	// waits for this router to read an early response.
+	maxInlineBody = 4 << 10
+	// JoinedBody is the size, in bytes, up to which a body is passed to the socket together with
+	// its header: three times the 9 KB of a request with a long prompt. A body up to this size
+	// isn't accessed after Do has returned.
 	JoinedBody = 32 << 10
 )
 
-var heads = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var headerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// send writes the request. What a long body's socket doesn't take at once is written beside
-// the reading of the answer.
-func (a *Answer) send(c *Call) error {
-	buf := heads.Get().(*bytes.Buffer)
-	defer heads.Put(buf)
+// send writes the request. If the socket doesn't accept all of a long body at once, the rest is
+// written while the response is read.
+func (r *Answer) send(c *Call) error {
+	buf := headerBuffers.Get().(*bytes.Buffer)
+	defer headerBuffers.Put(buf)
 	buf.Reset()
-	writeHead(buf, c)
-	// Guard: connecting takes seconds on a host whose processor is used up, and the caller
-	// may have left meanwhile. Asked any sooner, the upstream would work for nobody.
+	writeHeader(buf, c)
+	// Guard: on a host whose CPU is exhausted, connecting takes seconds, and the caller may leave
+	// meanwhile. Without a check at this point, the upstream would work for nobody.
 	if c.Wanted != nil && !c.Wanted() {
 		return &Error{Stage: "send", cause: ErrUnwanted}
 	}
 	switch {
-	case len(c.Body) <= inlineBody:
+	case len(c.Body) <= maxInlineBody:
 		buf.Write(c.Body)
-		return a.sendAll(buf.Bytes())
+		return r.sendAll(buf.Bytes())
 	case len(c.Body) <= JoinedBody:
 		buf.Write(c.Body)
-		return a.sendJoined(buf.Bytes())
+		return r.sendJoined(buf.Bytes())
 	}
-	if err := a.sendAll(buf.Bytes()); err != nil {
+	if err := r.sendAll(buf.Bytes()); err != nil {
 		return err
 	}
-	a.sendBeside(c.Body)
+	r.sendInBackground(c.Body)
 	return nil
 }
 
-func (a *Answer) sendAll(data []byte) error {
-	n, err := a.conn.Write(data)
+func (r *Answer) sendAll(data []byte) error {
+	n, err := r.conn.Write(data)
 	if err != nil {
 		return &Error{Sent: n > 0, Stage: "send", cause: err}
 	}
 	return nil
 }
 
-// sendJoined offers data to the socket once, and has the rest written beside the reading.
-// Nearly always there is none, which saves a goroutine and a write of each request with a
-// body over inlineBody.
-func (a *Answer) sendJoined(data []byte) error {
-	n, err := a.conn.offer(data)
+// sendJoined passes data to the socket once and writes any rest while the response is read. There
+// is hardly ever a rest, which saves a goroutine and a write for each request with a body over
+// maxInlineBody.
+func (r *Answer) sendJoined(data []byte) error {
+	n, err := r.conn.tryWrite(data)
 	if err != nil {
 		return &Error{Sent: n > 0, Stage: "send", cause: err}
 	}
 	if n < len(data) {
-		a.sendBeside(bytes.Clone(data[n:])) // data is used again
+		r.sendInBackground(bytes.Clone(data[n:])) // the buffer of data is reused
 	}
 	return nil
 }
 
-// sendBeside writes data while the answer is read.
-func (a *Answer) sendBeside(data []byte) {
-	a.written = make(chan error, 1)
+// sendInBackground writes data while the response is read.
+func (r *Answer) sendInBackground(data []byte) {
+	r.bodySent = make(chan error, 1)
 	go func(cn *conn, done chan<- error) {
 		_, err := cn.Write(data)
 		done <- err
-	}(a.conn, a.written)
+	}(r.conn, r.bodySent)
 }
 
-// offer gives the socket as much of data as it takes at once.
-func (c *conn) offer(data []byte) (int, error) {
-	taken := 0
-	var failed error
+// tryWrite writes as much of data as the socket accepts at once.
+func (c *conn) tryWrite(data []byte) (int, error) {
+	written := 0
+	var writeErr error
 	err := c.raw.Write(func(fd uintptr) bool {
-		taken, failed = unix.Write(int(fd), data)
+		written, writeErr = unix.Write(int(fd), data)
 		return true
 	})
 	if err != nil {
 		return 0, err
 	}
-	if failed == unix.EAGAIN || failed == unix.EINTR {
+	if writeErr == unix.EAGAIN || writeErr == unix.EINTR {
 		return 0, nil
 	}
-	c.meter.Sent(taken)
-	return max(0, taken), failed
+	c.meter.Sent(written)
+	return max(0, written), writeErr
 }
