--- a/pkg/sse/line.go
+++ b/pkg/sse/line.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// CutLine gives the first line of text without its end, and what follows it.
+// CutLine returns the first line of text without its terminator, and the text after it.
 func CutLine(text []byte) (line, rest []byte) {
 	i := lineEnd(text)
 	if i < 0 {
@@ -14,7 +14,8 @@
 	return text[:i], text[i+1:]
 }
 
-// lineEnd is where the first line of text ends, negative when it doesn't.
+// lineEnd returns the index of the terminator of text's first line, or a negative number if there
+// is none.
 func lineEnd(text []byte) int {
 	i := bytes.IndexByte(text, '\n')
 	before := text
--- a/pkg/sse/scanner.go
+++ b/pkg/sse/scanner.go
@@ -1,105 +1,109 @@
 package sse
 
-// terminator is what a line ended with.
+// terminator is the kind of line terminator.
 type terminator byte
 
 const (
-	noLine terminator = iota
+	noTerminator terminator = iota
 	lf
 	cr
 	crlf
 )
 
-// Scanner cuts a stream that comes piece by piece into events. How the bytes are cut into pieces
-// doesn't change the events. The zero value is at the start of a stream.
+// Scanner splits a stream that arrives in parts into events. The boundaries of the parts don't
+// affect the result. The zero value is at the start of a stream.
 type Scanner struct {
-	// next is the first byte that wasn't looked at, line the start of its line.
-	next, line int
-	// begun is whether the event has a line, field whether it has one that is no comment.
-	begun, field bool
-	last         terminator
+	// pos is the index of the first byte that hasn't been scanned, lineStart that of the start of
+	// its line.
+	pos, lineStart int
+	// hasLine says that the current event has a line, hasField that it has one other than a
+	// comment.
+	hasLine, hasField bool
+	lastTerminator    terminator
 }
 
-// Scan gives the length of what can be taken off the start of buf: an event with its blank line, or
-// blank lines between events. It gives 0 when more is needed. buf must begin where the call before
-// left off, and hold at least what it held then.
+// Scan returns the length of the next chunk at the start of buf: an event with its blank line, or
+// blank lines between events. It returns 0 if more bytes are needed. buf must start where the
+// previous call left off, and include all bytes that were left then.
 func (s *Scanner) Scan(buf []byte) (n int, event bool) {
-	for s.next < len(buf) {
-		if s.splitEnd(buf) {
-			s.next++
-			s.line, s.last = s.next, crlf
-			if !s.begun {
-				return s.take(), false
+	for s.pos < len(buf) {
+		if s.atSplitCRLF(buf) {
+			s.pos++
+			s.lineStart, s.lastTerminator = s.pos, crlf
+			if !s.hasLine {
+				return s.finishChunk(), false
 			}
 			continue
 		}
-		i := lineEnd(buf[s.next:])
+		i := lineEnd(buf[s.pos:])
 		if i < 0 {
-			s.next = len(buf)
+			s.pos = len(buf)
 			break
 		}
-		s.next += i
-		blank := s.next == s.line
+		s.pos += i
+		blank := s.pos == s.lineStart
 		if blank && s.awaitsLF(buf) {
 			break
 		}
 		if !blank {
-			s.begun = true
-			s.field = s.field || buf[s.line] != ':'
+			s.hasLine = true
+			s.hasField = s.hasField || buf[s.lineStart] != ':'
 		}
-		s.endLine(buf, blank)
+		s.skipLineEnd(buf, blank)
 		if blank {
-			event = s.begun
-			return s.take(), event
+			event = s.hasLine
+			return s.finishChunk(), event
 		}
 	}
 	return 0, false
 }
 
-// splitEnd reports whether the next byte is the LF of a CRLF whose CR has ended the line before.
-func (s *Scanner) splitEnd(buf []byte) bool {
-	return s.last == cr && s.next == s.line && buf[s.next] == '\n'
+// atSplitCRLF reports whether the next byte is the LF of a CRLF whose CR has already ended the
+// previous line.
+func (s *Scanner) atSplitCRLF(buf []byte) bool {
+	return s.lastTerminator == cr && s.pos == s.lineStart && buf[s.pos] == '\n'
 }
 
-// awaitsLF reports whether the blank line at next ends in a CR that, as those before it, is likely
-// to be followed by an LF which hasn't come.
+// awaitsLF reports whether the blank line at pos ends with a CR whose LF is expected, because the
+// previous lines ended with CRLF, but hasn't arrived.
 func (s *Scanner) awaitsLF(buf []byte) bool {
-	return s.last == crlf && buf[s.next] == '\r' && s.next+1 == len(buf)
+	return s.lastTerminator == crlf && buf[s.pos] == '\r' && s.pos+1 == len(buf)
 }
 
-// endLine goes on behind the line end at next. The LF behind the CR of a blank line belongs to the
-// event only where the lines before ended so, as otherwise the event would have to wait for it.
-func (s *Scanner) endLine(buf []byte, blank bool) {
+// skipLineEnd moves past the line terminator at pos. The LF after the CR of a blank line belongs to
+// the event only if the previous lines ended with CRLF. Otherwise the event would have to wait for
+// a byte that may not come.
+func (s *Scanner) skipLineEnd(buf []byte, blank bool) {
 	switch {
-	case buf[s.next] == '\n':
-		s.last = lf
-	case blank && s.last == crlf && buf[s.next+1] == '\n':
-		s.next++
+	case buf[s.pos] == '\n':
+		s.lastTerminator = lf
+	case blank && s.lastTerminator == crlf && buf[s.pos+1] == '\n':
+		s.pos++
 	default:
-		s.last = cr
+		s.lastTerminator = cr
 	}
-	s.next++
-	s.line = s.next
+	s.pos++
+	s.lineStart = s.pos
 }
 
-// take ends a piece and gives its length.
-func (s *Scanner) take() int {
-	n := s.next
-	*s = Scanner{last: s.last}
+// finishChunk resets the scanner after a chunk and returns the chunk's length.
+func (s *Scanner) finishChunk() int {
+	n := s.pos
+	*s = Scanner{lastTerminator: s.lastTerminator}
 	return n
 }
 
-// Whole reports whether rest, which Scan has left, is an event that lacks nothing but the LF of its
-// last CRLF.
-func (s *Scanner) Whole(rest []byte) bool { return s.begun && s.blankLeft(rest) }
+// Whole reports whether rest, the bytes after the last chunk, is an event that lacks only the LF of
+// its last CRLF.
+func (s *Scanner) Whole(rest []byte) bool { return s.hasLine && s.endsWithBlankLine(rest) }
 
-// Inside reports whether a stream that ends with rest, which Scan has left, ends inside an event.
-// Comments that end with their line are no part of one.
+// Inside reports whether a stream that ends with rest, the bytes after the last chunk, ends inside
+// an event. Complete comment lines don't count as part of one.
 func (s *Scanner) Inside(rest []byte) bool {
-	return !s.blankLeft(rest) && (s.field || len(rest) > s.line)
+	return !s.endsWithBlankLine(rest) && (s.hasField || len(rest) > s.lineStart)
 }
 
-// blankLeft reports whether rest ends with a blank line whose LF Scan still waits for.
-func (s *Scanner) blankLeft(rest []byte) bool {
-	return s.next == s.line && s.next < len(rest) && s.awaitsLF(rest)
+// endsWithBlankLine reports whether rest ends with a blank line whose LF Scan is waiting for.
+func (s *Scanner) endsWithBlankLine(rest []byte) bool {
+	return s.pos == s.lineStart && s.pos < len(rest) && s.awaitsLF(rest)
 }
--- a/pkg/sse/scanner_test.go
+++ b/pkg/sse/scanner_test.go
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-// piece is what a Scanner took off a stream.
-type piece struct {
+// chunk is what one call of Scan returned.
+type chunk struct {
 	text  string
 	event bool
 }
 
-// scan gives the pieces of a stream that comes in parts, and what is left.
-func scan(s *Scanner, parts ...string) (pieces []piece, rest string) {
+// scanAll returns the chunks of a stream that arrives in parts, and the rest.
+func scanAll(s *Scanner, parts ...string) (chunks []chunk, rest string) {
 	var buf []byte
 	for _, part := range parts {
 		buf = append(buf, part...)
@@ -26,15 +26,15 @@
 			if n == 0 {
 				break
 			}
-			pieces = append(pieces, piece{text: string(buf[:n]), event: event})
+			chunks = append(chunks, chunk{text: string(buf[:n]), event: event})
 			buf = buf[n:]
 		}
 	}
-	return pieces, string(buf)
+	return chunks, string(buf)
 }
 
-func eventsOf(pieces []piece) (texts []string) {
-	for _, p := range pieces {
+func eventsOf(chunks []chunk) (texts []string) {
+	for _, p := range chunks {
 		if p.event {
 			texts = append(texts, p.text)
 		}
@@ -46,18 +46,18 @@
 	for name, end := range map[string]string{"LF": "\n", "CRLF": "\r\n", "CR": "\r"} {
 		t.Run(name, func(t *testing.T) {
 			first, second := "id: 1"+end+"data: a"+end+end, ": comment"+end+"data: b"+end+end
-			pieces, rest := scan(new(Scanner), first+second+"data: c"+end)
-			require.Equal(t, []string{first, second}, eventsOf(pieces))
+			chunks, rest := scanAll(new(Scanner), first+second+"data: c"+end)
+			require.Equal(t, []string{first, second}, eventsOf(chunks))
 			require.Equal(t, "data: c"+end, rest)
 		})
 	}
 }
 
-// Guards against an event that waits for bytes of the next one though it is whole.
+// Guards against a complete event that is held back until bytes of the next one arrive.
 func TestAnEventIsGivenWithItsLastByte(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n", "\r"} {
-		pieces, _ := scan(new(Scanner), "data: a"+end+end)
-		require.Len(t, eventsOf(pieces), 1, "%q", end)
+		chunks, _ := scanAll(new(Scanner), "data: a"+end+end)
+		require.Len(t, eventsOf(chunks), 1, "%q", end)
 	}
 }
 
@@ -70,12 +70,12 @@
 		"data: a\n\ndata: b\n": true, ": comm": true, ": comment\ndata: b\n": true,
 	} {
 		s := new(Scanner)
-		_, rest := scan(s, text)
+		_, rest := scanAll(s, text)
 		require.Equal(t, inside, s.Inside([]byte(rest)), "%q", text)
 	}
 }
 
-// text draws a stream of lines, blank ones and comments too, in ends that change.
+// drawStream draws a stream of lines, including blank lines and comments, with varying terminators.
 func drawStream(t *rapid.T) string {
 	var b strings.Builder
 	for range rapid.IntRange(0, 20).Draw(t, "lines") {
@@ -85,41 +85,43 @@
 	return b.String() + rapid.SampledFrom([]string{"", "data", ":"}).Draw(t, "rest")
 }
 
-// Guards against events that are lost, doubled or joined by where reads happen to cut the stream.
+// Guards against events that are lost, duplicated or merged depending on where reads split the
+// stream.
 func TestAnyCutGivesTheSameEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawStream(t)
-		whole := new(Scanner)
-		want, wantRest := scan(whole, text)
+		atOnce := new(Scanner)
+		want, wantRest := scanAll(atOnce, text)
 		var parts []string
 		for left := text; left != ""; {
 			k := rapid.IntRange(1, len(left)).Draw(t, "cut")
 			parts, left = append(parts, left[:k]), left[k:]
 		}
-		cut := new(Scanner)
-		got, rest := scan(cut, parts...)
-		requireSame(t, text, want, got, wantRest, rest)
-		if whole.Inside([]byte(wantRest)) != cut.Inside([]byte(rest)) {
-			t.Fatalf("%q: inside an event or not, by the cut", text)
+		inParts := new(Scanner)
+		got, rest := scanAll(inParts, parts...)
+		requireSameChunks(t, text, want, got, wantRest, rest)
+		if atOnce.Inside([]byte(wantRest)) != inParts.Inside([]byte(rest)) {
+			t.Fatalf("%q: Inside depends on the split", text)
 		}
 	})
 }
 
-func requireSame(t fataler, text string, want, got []piece, wantRest, rest string) {
+func requireSameChunks(t failer, text string, want, got []chunk, wantRest, rest string) {
 	if fmt.Sprint(eventsOf(want)) != fmt.Sprint(eventsOf(got)) || wantRest != rest {
-		t.Fatalf("%q: %+v and %q whole, %+v and %q in parts", text, want, wantRest, got, rest)
+		t.Fatalf("%q: got %+v and %q at once, but %+v and %q in parts", text, want, wantRest, got, rest)
 	}
 	all := ""
 	for _, p := range got {
 		all += p.text
 	}
 	if all+rest != text {
-		t.Fatalf("%q: %q leave", text, all+rest)
+		t.Fatalf("%q: chunks and rest join to %q", text, all+rest)
 	}
 }
 
-// lines parses a stream in one pass, without state: the fields of each event that ends.
-func lines(text string) (events [][]string) {
+// parseEvents parses a stream in one pass, without a Scanner, and returns the fields of each
+// complete event.
+func parseEvents(text string) (events [][]string) {
 	var event []string
 	rest := []byte(text)
 	for len(rest) > 0 {
@@ -144,21 +146,21 @@
 	f.Fuzz(func(t *testing.T, text string, cut int) {
 		cut = max(0, min(cut, len(text)))
 		s := new(Scanner)
-		want, wantRest := scan(new(Scanner), text)
-		got, rest := scan(s, text[:cut], text[cut:])
-		requireSame(t, text, want, got, wantRest, rest)
+		want, wantRest := scanAll(new(Scanner), text)
+		got, rest := scanAll(s, text[:cut], text[cut:])
+		requireSameChunks(t, text, want, got, wantRest, rest)
 		var parsed [][]string
 		for _, e := range eventsOf(got) {
-			parsed = append(parsed, lines(e)...)
+			parsed = append(parsed, parseEvents(e)...)
 		}
 		if s.Whole([]byte(rest)) {
-			parsed = append(parsed, lines(rest)...)
+			parsed = append(parsed, parseEvents(rest)...)
 		}
-		if fmt.Sprintf("%q", parsed) != fmt.Sprintf("%q", lines(text)) {
-			t.Fatalf("%q: %q in place of %q", text, parsed, lines(text))
+		if fmt.Sprintf("%q", parsed) != fmt.Sprintf("%q", parseEvents(text)) {
+			t.Fatalf("%q: got %q, want %q", text, parsed, parseEvents(text))
 		}
 	})
 }
 
-// fataler is a test, a check of rapid or a fuzz target.
-type fataler interface{ Fatalf(string, ...any) }
+// failer is a test, a rapid check or a fuzz target.
+type failer interface{ Fatalf(string, ...any) }
