--- a/pkg/verdict/error.go
+++ b/pkg/verdict/error.go
@@ -6,39 +6,40 @@
 	"github.com/juju/errors"
 )
 
-// Code names the kind of a failure in error bodies, logs and metrics.
+// Code is the kind of an error, as named in error bodies, logs and metrics.
 type Code string
 
-// Codes that callers can meet. docs/operators/callers.md explains each.
+// Codes of errors that callers can get. docs/operators/callers.md explains each.
 const (
 	CodeBadRequest     Code = "bad_request"
 	CodeUnauthorized   Code = "unauthorized"
 	CodeNotFound       Code = "not_found"
 	CodeTooLarge       Code = "too_large"
-	CodeOverloaded     Code = "overloaded"      // the organisation's queue bound is reached
-	CodeDeadline       Code = "deadline"        // can't be granted within its deadline
+	CodeOverloaded     Code = "overloaded"      // the organisation's queue limit is reached
+	CodeDeadline       Code = "deadline"        // the request can't be granted within its deadline
 	CodeNoUpstream     Code = "no_upstream"     // the pool has no usable upstream
-	CodeDraining       Code = "draining"        // this router is leaving
-	CodeStale          Code = "stale"           // this router can't confirm its configuration
-	CodeUpstreamFailed Code = "upstream_failed" // the upstream broke off or answered garbage
-	CodeQuarantined    Code = "quarantined"     // the content crashed upstreams before
-	CodeDuplicate      Code = "duplicate"       // the idempotency key has been used
+	CodeDraining       Code = "draining"        // this router is draining
+	CodeStale          Code = "stale"           // this router can't confirm that its configuration is current
+	CodeUpstreamFailed Code = "upstream_failed" // the upstream broke off or sent a malformed response
+	CodeQuarantined    Code = "quarantined"     // the content has crashed upstreams
+	CodeDuplicate      Code = "duplicate"       // the idempotency key was used before
 	CodeTableDown      Code = "table_down"      // the idempotency key can't be recorded
-	CodeCanceled       Code = "canceled"        // the caller went away
+	CodeCanceled       Code = "canceled"        // the caller left
 	CodeInternal       Code = "internal"
 )
 
-// Error ends a request. It is the only error type shown to callers.
+// Error is an error that ends a request. It is the only error type whose message is shown to
+// callers.
 type Error struct {
 	Verdict Verdict
 	Code    Code
-	// Status is the HTTP status of the answer.
+	// Status is the HTTP status of the response.
 	Status int
-	// Message is shown to the caller; it holds no secret and no other organisation's data.
+	// Message is shown to the caller. It must not contain secrets or data of other organisations.
 	Message string
-	// RetryAfter is the time after which a new try is worth it; 0 when no try helps.
+	// RetryAfter is the time after which a retry makes sense; 0 means that no retry helps.
 	RetryAfter time.Duration
-	// Entries are other addresses worth trying, the best first.
+	// Entries are the addresses of other routers to try, the best first.
 	Entries []string
 
 	cause error
@@ -49,12 +50,12 @@
 	return &Error{Verdict: v, Code: code, Status: status, Message: message}
 }
 
-// Wrap returns an Error that keeps cause for logs and errors.Is.
+// Wrap returns an Error with a cause, which appears in logs and which errors.Is finds.
 func Wrap(cause error, v Verdict, status int, code Code, message string) *Error {
 	return &Error{Verdict: v, Code: code, Status: status, Message: message, cause: cause}
 }
 
-// Error gives the code, the verdict, the message and the cause.
+// Error returns the code, the verdict, the message and the cause.
 func (e *Error) Error() string {
 	s := string(e.Code) + " (" + e.Verdict.String() + "): " + e.Message
 	if e.cause != nil {
@@ -63,7 +64,7 @@
 	return s
 }
 
-// Unwrap returns the cause, nil when there is none.
+// Unwrap returns the cause, or nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
 // After sets RetryAfter and returns e.
@@ -72,7 +73,8 @@
 	return e
 }
 
-// From finds the Error in err's chain. An error without one is internal and MayHaveRun.
+// From returns the Error in err's chain. An error without one becomes an internal error with the
+// verdict MayHaveRun.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -1,7 +1,7 @@
-// Package verdict says, for each failed request, whether it may have run.
+// Package verdict says whether a failed request may have run.
 //
-// Every error that ends a request carries a Verdict. The zero value is
-// MayHaveRun, so an error that nobody classified never claims too much.
+// Every error that ends a request carries a Verdict. The zero value is MayHaveRun, so that an
+// unclassified error never claims too much.
 package verdict
 
 // Verdict says whether a request ran on an upstream.
@@ -10,16 +10,17 @@
 const (
 	// MayHaveRun is the safe default: bytes of the request may have reached an upstream.
 	MayHaveRun Verdict = iota
-	// NotRun holds only when no byte of the request can have reached an upstream.
+	// NotRun means that no byte of the request can have reached an upstream, or that the upstream
+	// said that it did not run the request.
 	NotRun
-	// Ran holds when the upstream is known to have run the request.
+	// Ran means that the upstream is known to have run the request.
 	Ran
 )
 
-// Header is the response header that carries the verdict to callers.
+// Header is the response header that tells callers the verdict.
 const Header = "Flamingowind-Verdict"
 
-// String returns the form used in headers, error bodies and logs.
+// String returns the form that headers, error bodies and logs use.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -31,7 +32,7 @@
 	}
 }
 
-// Parse reads the form that String writes. Anything unknown is MayHaveRun.
+// Parse is the inverse of String. Unknown forms become MayHaveRun.
 func Parse(s string) Verdict {
 	switch s {
 	case "not-run":
