--- a/pkg/quarantine/config.go
+++ b/pkg/quarantine/config.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Config bounds the list. Zero fields take the defaults.
+// Config holds the limits of a List. Zero fields take the defaults.
 type Config struct {
-	// Limit is the number of deaths from which on a content is refused.
+	// Limit is the number of crashes from which on a content is refused.
 	Limit int
-	// FadeAfter is how long a suspicion holds after its last news.
+	// FadeAfter is how long a suspicion holds after its last update.
 	FadeAfter time.Duration
-	// MaxSuspects and MaxConfirmed bound the two stores, in contents.
+	// MaxSuspects and MaxConfirmed are the maximum numbers of contents that are kept.
 	MaxSuspects  int
 	MaxConfirmed int
 }
 
 // Defaults of Config.
 const (
-	// DefaultLimit is 2: the first death leaves doubt between the requests of one
-	// batch, the second happens to a suspect that ran alone and leaves hardly any.
-	// A third would cost another upstream and tell nothing new.
+	// DefaultLimit is 2: after a first crash, any request of the batch may be the cause. The second
+	// crash happens to a suspect that ran alone, which leaves hardly any doubt. A third one would
+	// cost another upstream and show nothing new.
 	DefaultLimit        = 2
 	DefaultFadeAfter    = 30 * time.Minute
 	DefaultMaxSuspects  = 4096
--- a/pkg/quarantine/entry.go
+++ b/pkg/quarantine/entry.go
@@ -6,16 +6,16 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// entry is the newest news about one content and when it came, on this router's clock.
+// entry is the newest suspicion of one content and when it was received, on this router's clock.
 type entry struct {
-	news wire.Suspicion
-	at   time.Time
+	suspicion  wire.Suspicion
+	receivedAt time.Time
 }
 
-// newer orders news about one content totally, so that merging by maximum is
-// commutative, associative and idempotent. At equal Seq, which two routers reach
-// when they find something at once, the graver news wins.
-func newer(a, b wire.Suspicion) bool {
+// supersedes reports whether a replaces b. It is a total order of the suspicions of one content, so
+// that merging by maximum is commutative, associative and idempotent. Two routers that record
+// something at the same time produce the same Seq; then the more serious suspicion wins.
+func supersedes(a, b wire.Suspicion) bool {
 	if a.Seq != b.Seq {
 		return a.Seq > b.Seq
 	}
@@ -25,23 +25,23 @@
 	return !a.Cleared && b.Cleared
 }
 
-// deaths is the suspicion that is left at now. A confirmed content doesn't go free
-// at once when it fades: for as long again it is a suspect that runs alone, so one
-// more death confirms it again and hurts no batch.
-func (e entry) deaths(now time.Time, c Config) int {
-	age := now.Sub(e.at)
+// crashCount returns the number of crashes that still count at now. A confirmed content isn't
+// released at once when its suspicion ends: for the same time again, it is a suspect that runs
+// alone, so that one more crash confirms it again and affects no other request.
+func (e entry) crashCount(now time.Time, c Config) int {
+	age := now.Sub(e.receivedAt)
 	switch {
-	case e.news.Cleared || age >= 2*c.FadeAfter:
+	case e.suspicion.Cleared || age >= 2*c.FadeAfter:
 		return 0
 	case age < c.FadeAfter:
-		return int(e.news.Deaths)
-	case int(e.news.Deaths) >= c.Limit:
+		return int(e.suspicion.Deaths)
+	case int(e.suspicion.Deaths) >= c.Limit:
 		return c.Limit - 1
 	default:
 		return 0
 	}
 }
 
-// forgotten entries have faded long ago. Until then a faded entry stays, because its
-// Seq keeps a peer that fades later from bringing the same suspicion back for ever.
-func (e entry) forgotten(now time.Time, c Config) bool { return now.Sub(e.at) >= 2*c.FadeAfter }
+// expired reports whether the entry can be dropped. Until then it is kept although its suspicion
+// has ended: its Seq keeps peers whose suspicion ends later from bringing it back forever.
+func (e entry) expired(now time.Time, c Config) bool { return now.Sub(e.receivedAt) >= 2*c.FadeAfter }
--- a/pkg/quarantine/list.go
+++ b/pkg/quarantine/list.go
@@ -1,10 +1,10 @@
-// Package quarantine remembers the contents of requests that ran on an upstream
-// when it died, so that one request can't take the whole pool down.
+// Package quarantine tracks the contents of requests that were running on an upstream when it
+// crashed, so that one request can't take down a whole pool.
 //
-// A content that was running during a death is a suspect and from then on runs
-// alone on its upstream. A suspect that ends alone is cleared; one whose upstream
-// dies again is confirmed and refused until the suspicion fades. Routers pass
-// their findings on as wire.Suspicion.
+// A content that was running during a crash becomes a suspect, which runs alone on its upstream
+// from then on. A suspect that completes alone is cleared. One whose upstream crashes again is
+// confirmed, and refused until the suspicion expires. Routers exchange their findings as
+// wire.Suspicion.
 package quarantine
 
 import (
@@ -15,76 +15,76 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// List is one router's knowledge. Its methods may be called concurrently.
+// List is what one router knows about suspect contents. It is safe for concurrent use.
 type List struct {
-	mu     sync.Mutex
-	ledger *ledger
+	mu      sync.Mutex
+	tracker *tracker
 }
 
-// New returns an empty list.
-func New(c Config) *List { return &List{ledger: newLedger(c.withDefaults())} }
+// New returns an empty List.
+func New(c Config) *List { return &List{tracker: newTracker(c.withDefaults())} }
 
-// Died records that an upstream died while content ran on it; alone says that
-// nothing else ran there. The result is news for the other routers, if any.
+// Died records that an upstream crashed while content ran on it. alone says that nothing else ran
+// there. If that changes the suspicion, it is returned to be sent to the other routers.
 func (l *List) Died(content uint64, alone bool) (wire.Suspicion, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.died(time.Now(), content, alone)
+	return l.tracker.recordCrash(time.Now(), content, alone)
 }
 
-// EndedAlone records that content ran alone to its end. The result is news for the
-// other routers, if any.
+// EndedAlone records that content ran alone to its end. If that changes the suspicion, it is
+// returned to be sent to the other routers.
 func (l *List) EndedAlone(content uint64) (wire.Suspicion, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.endedAlone(time.Now(), content)
+	return l.tracker.recordSoloCompletion(time.Now(), content)
 }
 
-// Deaths returns how many deaths content is suspected of now: 0 for an innocent,
-// 1 or more for a suspect that must run alone, the limit or more for a refused one.
+// Deaths returns the number of crashes that content is suspected of: 0 if it isn't a suspect, 1 or
+// more if it must run alone, the limit or more if it is refused.
 func (l *List) Deaths(content uint64) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.deaths(time.Now(), content)
+	return l.tracker.crashCount(time.Now(), content)
 }
 
-// Check returns a *verdict.Error with NotRun when content is refused.
+// Check returns a *verdict.Error with the verdict NotRun if content is refused.
 func (l *List) Check(content uint64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.ledger.deaths(now, content) < l.ledger.config.Limit {
+	if l.tracker.crashCount(now, content) < l.tracker.config.Limit {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, 422, verdict.CodeQuarantined,
 		"upstreams died while they ran this request; it is refused for a time").
-		After(l.ledger.untilFaded(now, content))
+		After(l.tracker.remaining(now, content))
 }
 
-// Merge takes in news from a peer and returns what was new here, to be passed on.
-func (l *List) Merge(news []wire.Suspicion) []wire.Suspicion {
+// Merge adds suspicions from a peer and returns those that were new, to be passed on.
+func (l *List) Merge(suspicions []wire.Suspicion) []wire.Suspicion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	var fresh []wire.Suspicion
-	for _, s := range news {
-		if l.ledger.merge(now, s) {
-			fresh = append(fresh, s)
+	var accepted []wire.Suspicion
+	for _, s := range suspicions {
+		if l.tracker.merge(now, s) {
+			accepted = append(accepted, s)
 		}
 	}
-	return fresh
+	return accepted
 }
 
-// Snapshot returns all that still holds, for a peer that has just joined.
+// Snapshot returns all suspicions that still hold, for a peer that has just joined.
 func (l *List) Snapshot() []wire.Suspicion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.snapshot(time.Now())
+	return l.tracker.snapshot(time.Now())
 }
 
-// Count returns how many contents must run alone now and how many are refused.
+// Count returns how many contents must run alone and how many are refused.
 func (l *List) Count() (suspected, confirmed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ledger.count(time.Now())
+	return l.tracker.count(time.Now())
 }
--- a/pkg/quarantine/list_test.go
+++ b/pkg/quarantine/list_test.go
@@ -12,40 +12,40 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// A captain's question crashes every engine that runs it, and the caller sends it
-// again and again. The first death leaves 31 others of the batch under suspicion;
-// they run alone once and come free, the poison dies alone and is refused with a
-// true verdict everywhere the news arrives.
-func TestPoisonRefusedAfterSecondDeathInnocentsFree(t *testing.T) {
+// A request crashes every engine that runs it, and its caller retries it again and again. The first
+// crash makes the 31 other requests of the batch suspects. They run alone once and are cleared; the
+// harmful request crashes an engine alone and is refused, as not run, by every router that receives
+// the suspicion.
+func TestConfirmedContentIsRefusedAndSuspectsAreCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := New(Config{}), New(Config{})
-		const poison = 1
+		const harmful = 1
 		for c := uint64(1); c <= 32; c++ {
-			news, ok := here.Died(c, false)
+			suspicion, ok := here.Died(c, false)
 			require.True(t, ok)
-			there.Merge([]wire.Suspicion{news})
+			there.Merge([]wire.Suspicion{suspicion})
 		}
 		for c := uint64(2); c <= 32; c++ {
 			require.Equal(t, 1, there.Deaths(c))
-			news, ok := there.EndedAlone(c)
+			suspicion, ok := there.EndedAlone(c)
 			require.True(t, ok)
-			here.Merge([]wire.Suspicion{news})
+			here.Merge([]wire.Suspicion{suspicion})
 			require.Zero(t, here.Deaths(c))
 		}
-		require.NoError(t, there.Check(poison))
-		news, ok := there.Died(poison, true)
+		require.NoError(t, there.Check(harmful))
+		suspicion, ok := there.Died(harmful, true)
 		require.True(t, ok)
-		here.Merge([]wire.Suspicion{news})
-		refusal := verdict.From(here.Check(poison))
+		here.Merge([]wire.Suspicion{suspicion})
+		refusal := verdict.From(here.Check(harmful))
 		require.Equal(t, verdict.CodeQuarantined, refusal.Code)
 		require.Equal(t, verdict.NotRun, refusal.Verdict)
 		require.Equal(t, DefaultFadeAfter, refusal.RetryAfter)
 	})
 }
 
-// A zone loses power: twenty engines die at once, many of them with the same popular
-// check-in running. Nobody may refuse that check-in, since it never died alone.
-func TestDeathsInCompanyNeverConfirm(t *testing.T) {
+// A zone loses power: twenty engines crash at once, and many of them were running the same popular
+// request. It must not be refused, since no engine crashed while it ran alone.
+func TestCrashesBesideOthersNeverConfirm(t *testing.T) {
 	l := New(Config{})
 	for range 20 {
 		l.Died(7, false)
@@ -54,8 +54,8 @@
 	require.NoError(t, l.Check(7))
 }
 
-// Engines die with full batches while a poison is confirmed. The innocents fill their
-// own store; if they displaced the poison, it would be let in again and kill on.
+// Engines crash with full batches while a harmful content is confirmed. The innocent suspects must
+// not evict it, or it would be admitted again and crash further engines.
 func TestInnocentsDontDisplaceConfirmed(t *testing.T) {
 	l := New(Config{MaxSuspects: 8, MaxConfirmed: 2})
 	l.Died(1, false)
@@ -67,10 +67,10 @@
 	require.LessOrEqual(t, len(l.Snapshot()), 10)
 }
 
-// A confirmed content fades: it goes through a time of running alone, in which one
-// more death confirms it again, before it is forgotten. A peer that still holds the
-// old news must not bring it back.
-func TestFades(t *testing.T) {
+// The suspicion of a confirmed content ends in two steps: for a time the content runs alone, so
+// that one more crash confirms it again, and then it is forgotten. A peer that still has the old
+// suspicion must not bring it back.
+func TestSuspicionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(Config{})
 		l.Died(1, false)
@@ -78,7 +78,7 @@
 		<-time.After(DefaultFadeAfter)
 		require.NoError(t, l.Check(1))
 		require.Equal(t, 1, l.Deaths(1))
-		require.Empty(t, l.Merge([]wire.Suspicion{old}), "faded news came back")
+		require.Empty(t, l.Merge([]wire.Suspicion{old}), "an ended suspicion came back")
 		l.Died(1, true)
 		require.Error(t, l.Check(1))
 		<-time.After(2 * DefaultFadeAfter)
@@ -86,8 +86,8 @@
 	})
 }
 
-// A run that began before the content was confirmed ends well late; that must not
-// free a content that two upstreams died of.
+// A run that began before its content was confirmed completes late. That must not clear a content
+// that has crashed two upstreams.
 func TestLateEndDoesNotClearConfirmed(t *testing.T) {
 	l := New(Config{})
 	l.Died(1, false)
@@ -97,22 +97,22 @@
 	require.Error(t, l.Check(1))
 }
 
-// News cross, double and overtake each other between routers. All must end with the
-// same opinion whatever the order.
+// Suspicions are reordered and duplicated on their way between routers. All routers must reach the
+// same state in any order.
 func TestMergeOrderDoesNotMatter(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 500 {
-		news := make([]wire.Suspicion, 6)
-		for i := range news {
-			news[i] = wire.Suspicion{Content: uint64(1 + r.IntN(2)), Deaths: uint32(r.IntN(3)),
+		suspicions := make([]wire.Suspicion, 6)
+		for i := range suspicions {
+			suspicions[i] = wire.Suspicion{Content: uint64(1 + r.IntN(2)), Deaths: uint32(r.IntN(3)),
 				Cleared: r.IntN(2) == 0, Seq: uint64(r.IntN(3))}
 		}
 		synctest.Test(t, func(t *testing.T) {
 			a, b := New(Config{}), New(Config{})
-			a.Merge(news)
-			r.Shuffle(len(news), func(i, j int) { news[i], news[j] = news[j], news[i] })
-			b.Merge(news)
-			b.Merge(news)
+			a.Merge(suspicions)
+			r.Shuffle(len(suspicions), func(i, j int) { suspicions[i], suspicions[j] = suspicions[j], suspicions[i] })
+			b.Merge(suspicions)
+			b.Merge(suspicions)
 			require.ElementsMatch(t, a.Snapshot(), b.Snapshot())
 		})
 	}
--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -8,108 +8,108 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// ledger is the decision code: no lock, no clock of its own.
+// tracker holds the state of a List. It has no lock and no clock of its own.
 //
-// Suspects and confirmed contents have a store each: a death with a large batch
-// brings many innocents, and in one store they would displace the confirmed ones.
-type ledger struct {
+// Suspects and confirmed contents are kept apart: a crash with a large batch adds many innocent
+// suspects, which would evict the confirmed contents from a common LRU list.
+type tracker struct {
 	config    Config
 	suspects  *simplelru.LRU[uint64, entry]
 	confirmed *simplelru.LRU[uint64, entry]
 }
 
-func newLedger(c Config) *ledger {
-	return &ledger{config: c, suspects: newStore(c.MaxSuspects), confirmed: newStore(c.MaxConfirmed)}
+func newTracker(c Config) *tracker {
+	return &tracker{config: c, suspects: newLRU(c.MaxSuspects), confirmed: newLRU(c.MaxConfirmed)}
 }
 
-func newStore(size int) *simplelru.LRU[uint64, entry] {
-	store, err := simplelru.NewLRU[uint64, entry](size, nil)
+func newLRU(size int) *simplelru.LRU[uint64, entry] {
+	lru, err := simplelru.NewLRU[uint64, entry](size, nil)
 	if err != nil {
 		panic(err) // only for a size below 1, which withDefaults excludes
 	}
-	return store
+	return lru
 }
 
-// died counts one death. A death in company counts only up to the limit less one:
-// several routers see the same death, and a zone that loses power kills many
-// upstreams at once, each with a copy of some popular content. Both would confirm
-// an innocent; only the death of a suspect that ran alone does.
-func (l *ledger) died(now time.Time, content uint64, alone bool) (wire.Suspicion, bool) {
+// recordCrash counts one crash. A crash while other requests ran counts only up to one below the
+// limit: several routers see the same crash, and a zone that loses power takes down many upstreams
+// at once, each of which may run the same popular content. Either would confirm an innocent
+// content, so only the crash of a suspect that ran alone confirms it.
+func (t *tracker) recordCrash(now time.Time, content uint64, alone bool) (wire.Suspicion, bool) {
 	if content == 0 {
 		return wire.Suspicion{}, false
 	}
-	old, _ := l.find(now, content)
-	held := l.deaths(now, content)
-	deaths := held + 1
+	old, _ := t.lookup(now, content)
+	current := t.crashCount(now, content)
+	crashes := current + 1
 	if !alone {
-		deaths = max(held, min(deaths, l.config.Limit-1))
+		crashes = max(current, min(crashes, t.config.Limit-1))
 	}
-	if deaths == held {
+	if crashes == current {
 		return wire.Suspicion{}, false
 	}
-	return l.publish(now, wire.Suspicion{Content: content, Deaths: uint32(deaths), Seq: old.news.Seq + 1}), true
+	return t.put(now, wire.Suspicion{Content: content, Deaths: uint32(crashes), Seq: old.suspicion.Seq + 1}), true
 }
 
-// endedAlone clears a suspect. A confirmed content stays: it no longer runs, so an
-// end reported now belongs to a run that began before the last death.
-func (l *ledger) endedAlone(now time.Time, content uint64) (wire.Suspicion, bool) {
-	held := l.deaths(now, content)
-	if held == 0 || held >= l.config.Limit {
+// recordSoloCompletion clears a suspect. A confirmed content isn't cleared: it no longer runs, so
+// the completion is that of a run that began before the last crash.
+func (t *tracker) recordSoloCompletion(now time.Time, content uint64) (wire.Suspicion, bool) {
+	current := t.crashCount(now, content)
+	if current == 0 || current >= t.config.Limit {
 		return wire.Suspicion{}, false
 	}
-	old, _ := l.find(now, content)
-	return l.publish(now, wire.Suspicion{Content: content, Cleared: true, Seq: old.news.Seq + 1}), true
+	old, _ := t.lookup(now, content)
+	return t.put(now, wire.Suspicion{Content: content, Cleared: true, Seq: old.suspicion.Seq + 1}), true
 }
 
-func (l *ledger) merge(now time.Time, s wire.Suspicion) bool {
+func (t *tracker) merge(now time.Time, s wire.Suspicion) bool {
 	if s.Content == 0 {
 		return false
 	}
-	if old, ok := l.find(now, s.Content); ok && !newer(s, old.news) {
+	if old, ok := t.lookup(now, s.Content); ok && !supersedes(s, old.suspicion) {
 		return false
 	}
-	l.publish(now, s)
+	t.put(now, s)
 	return true
 }
 
-func (l *ledger) publish(now time.Time, s wire.Suspicion) wire.Suspicion {
-	l.suspects.Remove(s.Content)
-	l.confirmed.Remove(s.Content)
-	l.storeFor(s).Add(s.Content, entry{news: s, at: now})
+func (t *tracker) put(now time.Time, s wire.Suspicion) wire.Suspicion {
+	t.suspects.Remove(s.Content)
+	t.confirmed.Remove(s.Content)
+	t.lruFor(s).Add(s.Content, entry{suspicion: s, receivedAt: now})
 	return s
 }
 
-func (l *ledger) storeFor(s wire.Suspicion) *simplelru.LRU[uint64, entry] {
-	if int(s.Deaths) >= l.config.Limit {
-		return l.confirmed
+func (t *tracker) lruFor(s wire.Suspicion) *simplelru.LRU[uint64, entry] {
+	if int(s.Deaths) >= t.config.Limit {
+		return t.confirmed
 	}
-	return l.suspects
+	return t.suspects
 }
 
-func (l *ledger) deaths(now time.Time, content uint64) int {
-	e, ok := l.find(now, content)
+func (t *tracker) crashCount(now time.Time, content uint64) int {
+	e, ok := t.lookup(now, content)
 	if !ok {
 		return 0
 	}
-	return e.deaths(now, l.config)
+	return e.crashCount(now, t.config)
 }
 
-func (l *ledger) untilFaded(now time.Time, content uint64) time.Duration {
-	e, ok := l.find(now, content)
+func (t *tracker) remaining(now time.Time, content uint64) time.Duration {
+	e, ok := t.lookup(now, content)
 	if !ok {
 		return 0
 	}
-	return max(0, l.config.FadeAfter-now.Sub(e.at))
+	return max(0, t.config.FadeAfter-now.Sub(e.receivedAt))
 }
 
-func (l *ledger) find(now time.Time, content uint64) (entry, bool) {
-	for _, store := range []*simplelru.LRU[uint64, entry]{l.confirmed, l.suspects} {
-		e, ok := store.Get(content)
+func (t *tracker) lookup(now time.Time, content uint64) (entry, bool) {
+	for _, lru := range []*simplelru.LRU[uint64, entry]{t.confirmed, t.suspects} {
+		e, ok := lru.Get(content)
 		if !ok {
 			continue
 		}
-		if e.forgotten(now, l.config) {
-			store.Remove(content)
+		if e.expired(now, t.config) {
+			lru.Remove(content)
 			continue
 		}
 		return e, true
@@ -117,22 +117,22 @@
 	return entry{}, false
 }
 
-func (l *ledger) snapshot(now time.Time) []wire.Suspicion {
+func (t *tracker) snapshot(now time.Time) []wire.Suspicion {
 	var all []wire.Suspicion
-	for _, e := range append(l.confirmed.Values(), l.suspects.Values()...) {
-		if now.Sub(e.at) < l.config.FadeAfter {
-			all = append(all, e.news)
+	for _, e := range append(t.confirmed.Values(), t.suspects.Values()...) {
+		if now.Sub(e.receivedAt) < t.config.FadeAfter {
+			all = append(all, e.suspicion)
 		}
 	}
 	return all
 }
 
-func (l *ledger) count(now time.Time) (suspected, confirmed int) {
-	for _, e := range append(l.confirmed.Values(), l.suspects.Values()...) {
-		switch deaths := e.deaths(now, l.config); {
-		case deaths >= l.config.Limit:
+func (t *tracker) count(now time.Time) (suspected, confirmed int) {
+	for _, e := range append(t.confirmed.Values(), t.suspects.Values()...) {
+		switch crashes := e.crashCount(now, t.config); {
+		case crashes >= t.config.Limit:
 			confirmed++
-		case deaths > 0:
+		case crashes > 0:
 			suspected++
 		}
 	}
