--- a/pkg/dispatch/attempt.go
+++ b/pkg/dispatch/attempt.go
@@ -17,17 +17,17 @@
 
 // attempt is one request on its way through one upstream.
 type attempt struct {
-	d     *Dispatcher
-	ctx   context.Context
-	slot  sched.Slot
-	call  *Call
-	sink  Sink
-	id    string
-	gate  *gate
-	meter meter
-	begun bool
-	next  int64 // number of the event that must come next
-	bytes int64 // bytes of the stream so far
+	d           *Dispatcher
+	ctx         context.Context
+	slot        sched.Slot
+	call        *Call
+	sink        Sink
+	id          string
+	gate        *gate
+	meter       meter
+	sinkBegun   bool
+	nextEvent   int64 // number of the event that must come next
+	streamBytes int64 // bytes of the stream so far
 }
 
 func (a *attempt) run() Result {
@@ -37,49 +37,49 @@
 	return a.plain()
 }
 
-// staleTries bounds how many kept-alive connections are tried that were closed before
+// maxConnTries bounds how many kept-alive connections are tried that were closed before
 // any byte of the request went out on them.
-const staleTries = 4
+const maxConnTries = 4
 
 // send sends the request and gives the answer's head, checked to be this attempt's. A
 // kept-alive connection that turns out to be closed before its first byte is no fault of
 // the upstream, and nothing has left: another connection is taken.
 func (a *attempt) send(ctx context.Context) (resp *http.Response, err error) {
-	for range staleTries {
-		resp, err = a.trip(ctx)
-		if err == nil || ctx.Err() != nil || !a.gate.fresh() {
+	for range maxConnTries {
+		resp, err = a.roundTrip(ctx)
+		if err == nil || ctx.Err() != nil || !a.gate.staleConn() {
 			return resp, err
 		}
 	}
 	return nil, err
 }
 
-func (a *attempt) trip(ctx context.Context) (*http.Response, error) {
-	req, err := a.request(ctx)
+func (a *attempt) roundTrip(ctx context.Context) (*http.Response, error) {
+	req, err := a.newRequest(ctx)
 	if err != nil {
 		a.gate.seal()
-		return nil, errors.WithType(err, errBroken)
+		return nil, errors.WithType(err, errConnBroken)
 	}
 	resp, err := a.d.transport.RoundTrip(req)
 	if err != nil {
-		return nil, broke(a.ctx, ctx, err, a.gate.ended())
+		return nil, classifyError(a.ctx, ctx, err, a.gate.connEnded())
 	}
-	a.meter.began = a.gate.beganAt()
-	return a.checked(resp, a.gate)
+	a.meter.sentAt = a.gate.firstWrite()
+	return a.checkEcho(resp, a.gate)
 }
 
-func (a *attempt) request(ctx context.Context) (*http.Request, error) {
-	target, err := a.target(a.call.Path, a.call.Query)
+func (a *attempt) newRequest(ctx context.Context) (*http.Request, error) {
+	target, err := a.resolve(a.call.Path, a.call.Query)
 	if err != nil {
 		return nil, err
 	}
-	trace := &httptrace.ClientTrace{GotConn: a.gate.arm}
+	trace := &httptrace.ClientTrace{GotConn: a.gate.attach}
 	req := (&http.Request{
 		Method:        a.call.Method,
 		URL:           target,
 		Host:          target.Host,
 		Header:        a.call.Header.Clone(),
-		Body:          newOnceBody(a.call.Body),
+		Body:          newUnreplayableBody(a.call.Body),
 		ContentLength: int64(len(a.call.Body)),
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
@@ -92,7 +92,7 @@
 	return req, nil
 }
 
-func (a *attempt) target(path, query string) (*url.URL, error) {
+func (a *attempt) resolve(path, query string) (*url.URL, error) {
 	text := strings.TrimSuffix(a.slot.URL(), "/") + path
 	if query != "" {
 		text += "?" + query
@@ -100,31 +100,31 @@
 	return url.Parse(text)
 }
 
-// checked guards against answers of other attempts: on a connection that got out of
+// checkEcho guards against answers of other attempts: on a connection that got out of
 // step the echoed ID is another one or missing. The connection is dropped, since all
 // that follows on it would be out of step too.
-func (a *attempt) checked(resp *http.Response, g *gate) (*http.Response, error) {
-	echo := resp.Header[HeaderAttempt]
+func (a *attempt) checkEcho(resp *http.Response, g *gate) (*http.Response, error) {
+	echoed := resp.Header[HeaderAttempt]
 	switch {
-	case len(echo) != 1 || echo[0] != a.id:
-		g.drop()
+	case len(echoed) != 1 || echoed[0] != a.id:
+		g.dropConn()
 		_ = resp.Body.Close()
 		return nil, errWrongID
 	case resp.StatusCode < http.StatusOK:
-		g.drop()
+		g.dropConn()
 		_ = resp.Body.Close()
-		return nil, errors.WithType(errors.Errorf("status %d", resp.StatusCode), errGarbage)
+		return nil, errors.WithType(errors.Errorf("status %d", resp.StatusCode), errMalformed)
 	}
 	return resp, nil
 }
 
-// failed makes the Result of an attempt without a whole answer.
-func (a *attempt) failed(err error) Result {
+// failedResult makes the Result of an attempt without a whole answer.
+func (a *attempt) failedResult(err error) Result {
 	state := a.gate.seal()
 	if state != gateOpen {
-		return a.unsent(state, err)
+		return a.unsentResult(state, err)
 	}
-	if !died(err) {
+	if !crashed(err) {
 		a.cancel()
 	}
 	return Result{
@@ -133,8 +133,8 @@
 		Err:     errorOf(err, verdict.MayHaveRun),
 		Tokens:  a.meter.tokens(),
 		Cost:    a.cost(a.meter.tokens()),
-		First:   a.meter.firstTime(),
-		Step:    a.meter.step(),
+		First:   a.meter.timeToFirst(),
+		Step:    a.meter.meanInterval(),
 	}
 }
 
@@ -142,14 +142,14 @@
 // in which a dead upstream is taken out of its pool.
 const retryAfter = time.Second
 
-// unsent makes the Result of an attempt of which no byte left.
-func (a *attempt) unsent(state gateState, err error) Result {
+// unsentResult makes the Result of an attempt of which no byte left.
+func (a *attempt) unsentResult(state gateState, err error) Result {
 	r := Result{Verdict: verdict.NotRun, Outcome: wire.OutcomeUnused}
 	switch {
-	case state == gateLapsed:
-		err = errLapsed
-		r.Err = verdict.Wrap(err, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, errLapsed.Error()).After(retryAfter)
-	case errors.Is(err, errCaller):
+	case state == gateExpired:
+		err = errGrantExpired
+		r.Err = verdict.Wrap(err, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, errGrantExpired.Error()).After(retryAfter)
+	case errors.Is(err, errCallerGone):
 		r.Err = errorOf(err, verdict.NotRun)
 	default:
 		r.Outcome = wire.OutcomeUnreachable
--- a/pkg/dispatch/body.go
+++ b/pkg/dispatch/body.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// newOnceBody makes a request body that the transport can't rewind.
+// newUnreplayableBody makes a request body that the transport can't rewind.
 //
 // When a kept-alive connection is closed by the upstream just as the request goes out,
 // net/http sends the request again by itself if it has no body, or a body with GetBody,
@@ -14,4 +14,4 @@
 // also when it is empty, is not http.NoBody, and comes without GetBody gives the transport
 // nothing to replay. (The gate would stop a second copy too.) Head and body still go out
 // in one write, since the transport knows this kind of reader to be in memory.
-func newOnceBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
+func newUnreplayableBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
--- a/pkg/dispatch/cancel.go
+++ b/pkg/dispatch/cancel.go
@@ -13,13 +13,13 @@
 	if !a.call.Model {
 		return
 	}
-	target, err := a.target(a.streamPath(), "")
+	target, err := a.resolve(a.streamPath(), "")
 	if err != nil {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(a.ctx), a.d.limits.Cancel)
 	defer stop()
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: new(gate).arm})
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: new(gate).attach})
 	req := (&http.Request{Method: http.MethodDelete, URL: target, Header: http.Header{HeaderAttempt: {a.id}}}).WithContext(ctx)
 	resp, err := a.d.transport.RoundTrip(req)
 	if err == nil {
--- a/pkg/dispatch/event.go
+++ b/pkg/dispatch/event.go
@@ -18,10 +18,10 @@
 	done  bool // data is the end marker
 }
 
-var doneMark = []byte("[DONE]")
+var doneMarker = []byte("[DONE]")
 
-// maxID bounds an event's number, so that counting on can't overflow.
-const maxID = 1 << 40
+// maxEventID bounds an event's number, so that counting on can't overflow.
+const maxEventID = 1 << 40
 
 // parseEvent reads the lines of raw. An event without data (a comment) has nil data.
 func parseEvent(raw []byte) (event, error) {
@@ -29,30 +29,30 @@
 	for rest := raw; len(rest) > 0; {
 		var line []byte
 		line, rest = sse.CutLine(rest)
-		if err := e.take(line); err != nil {
+		if err := e.parseLine(line); err != nil {
 			return event{}, err
 		}
 	}
-	e.done = bytes.Equal(e.data, doneMark)
+	e.done = bytes.Equal(e.data, doneMarker)
 	if e.data != nil && !e.done && (e.data[0] != '{' || !json.Valid(e.data)) {
-		return event{}, errors.WithType(errors.New("event data is no JSON object"), errGarbage)
+		return event{}, errors.WithType(errors.New("event data is no JSON object"), errMalformed)
 	}
 	return e, nil
 }
 
-func (e *event) take(line []byte) error {
+func (e *event) parseLine(line []byte) error {
 	name, value, _ := bytes.Cut(line, colon)
 	value = bytes.TrimPrefix(value, space)
 	switch string(name) {
 	case "data":
 		if e.data != nil || len(value) == 0 {
-			return errors.WithType(errors.New("event with empty or repeated data"), errGarbage)
+			return errors.WithType(errors.New("event with empty or repeated data"), errMalformed)
 		}
 		e.data = value
 	case "id":
 		id, ok := parseNumber(value)
 		if !ok || e.hasID {
-			return errors.WithType(errors.New("event with a wrong or repeated id"), errGarbage)
+			return errors.WithType(errors.New("event with a wrong or repeated id"), errMalformed)
 		}
 		e.id, e.hasID = id, true
 	}
@@ -65,7 +65,7 @@
 	}
 	var n int64
 	for _, c := range b {
-		if c < '0' || c > '9' || n > maxID {
+		if c < '0' || c > '9' || n > maxEventID {
 			return 0, false
 		}
 		n = n*10 + int64(c-'0')
--- a/pkg/dispatch/fake_test.go
+++ b/pkg/dispatch/fake_test.go
@@ -18,11 +18,11 @@
 
 type fakeSlot struct {
 	url      string
-	lapsed   bool
+	expired  bool
 	mu       sync.Mutex
 	starts   int
 	progress []wire.Units
-	outcome  []wire.Outcome
+	outcomes []wire.Outcome
 }
 
 func (s *fakeSlot) Upstream() string { return "u1" }
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.starts++
-	return !s.lapsed
+	return !s.expired
 }
 
 func (s *fakeSlot) Progress(u wire.Units) {
@@ -44,17 +44,17 @@
 func (s *fakeSlot) Done(o wire.Outcome, _ wire.Units, _, _ time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outcome = append(s.outcome, o)
+	s.outcomes = append(s.outcomes, o)
 }
 
 type fakeSink struct {
 	bytes.Buffer
-	begun  int
+	begins int
 	failAt int // fails the write with this number; 0 never
 	writes int
 }
 
-func (s *fakeSink) Begin(int, http.Header) { s.begun++ }
+func (s *fakeSink) Begin(int, http.Header) { s.begins++ }
 
 func (s *fakeSink) Write(p []byte) error {
 	s.writes++
@@ -72,7 +72,7 @@
 	return s
 }
 
-func echo(w http.ResponseWriter, r *http.Request) {
+func echoAttempt(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(HeaderAttempt, r.Header.Get(HeaderAttempt))
 }
 
@@ -91,7 +91,7 @@
 const doneText = "data: [DONE]\n\n"
 
 func sendEvents(w http.ResponseWriter, r *http.Request, text string) {
-	echo(w, r)
+	echoAttempt(w, r)
 	w.Header().Set("Content-Type", eventStream)
 	_, _ = w.Write([]byte(text))
 	_ = http.NewResponseController(w).Flush()
@@ -119,14 +119,14 @@
 	return r, slot, sink
 }
 
-func same(t testing.TB, what string, want, got any) {
+func checkEqual(t testing.TB, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("%s (-want +got):\n%s", what, diff)
 	}
 }
 
-func whole(t testing.TB, r Result) {
+func requireComplete(t testing.TB, r Result) {
 	t.Helper()
 	if r.Err != nil {
 		t.Fatalf("not whole: %v", r.Err)
--- a/pkg/dispatch/garbage_test.go
+++ b/pkg/dispatch/garbage_test.go
@@ -14,8 +14,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// hijacked answers with raw bytes, then closes the connection. ID stands for the attempt.
-func hijacked(text string) http.HandlerFunc {
+// rawResponse answers with raw bytes, then closes the connection. ID stands for the attempt.
+func rawResponse(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // closing with unread bytes would reset the connection and lose the answer
 		c, _, err := http.NewResponseController(w).Hijack()
@@ -28,8 +28,8 @@
 }
 
 const (
-	headOK     = "HTTP/1.1 200 OK\r\nFlamingowind-Attempt: ID\r\n"
-	headStream = headOK + "Content-Type: text/event-stream\r\n\r\n"
+	headerOK     = "HTTP/1.1 200 OK\r\nFlamingowind-Attempt: ID\r\n"
+	headerStream = headerOK + "Content-Type: text/event-stream\r\n\r\n"
 )
 
 // An upstream answers something that is not the whole answer to this request: the
@@ -48,36 +48,36 @@
 		outcome wire.Outcome
 		fault   error
 	}{
-		{"no HTTP", service, "hello\r\n\r\n", failed, errGarbage},
-		{"nothing", service, "", died, errBroken},
-		{"cut head", service, "HTTP/1.1 200 OK\r\nFlam", died, errBroken},
-		{"cut body", service, headOK + "Content-Length: 9\r\n\r\nabc", died, errBroken},
-		{"cut chunks", service, headOK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", died, errBroken},
-		{"bad chunks", service, headOK + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", failed, errGarbage},
-		{"no length, no JSON", model, headOK + "\r\n{", failed, errGarbage},
-		{"no length, huge", service, headOK + "\r\n" + strings.Repeat("x", 2048), failed, errTooMuch},
-		{"huge declared", service, headOK + "Content-Length: 999999\r\n\r\n", failed, errTooMuch},
-		{"huge chunks", service, headOK + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048), failed, errTooMuch},
-		{"huge head", service, headOK + "X: " + strings.Repeat("x", maxAnswerHeader) + "\r\n\r\n", failed, errGarbage},
+		{"no HTTP", service, "hello\r\n\r\n", failed, errMalformed},
+		{"nothing", service, "", died, errConnBroken},
+		{"cut head", service, "HTTP/1.1 200 OK\r\nFlam", died, errConnBroken},
+		{"cut body", service, headerOK + "Content-Length: 9\r\n\r\nabc", died, errConnBroken},
+		{"cut chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", died, errConnBroken},
+		{"bad chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", failed, errMalformed},
+		{"no length, no JSON", model, headerOK + "\r\n{", failed, errMalformed},
+		{"no length, huge", service, headerOK + "\r\n" + strings.Repeat("x", 2048), failed, errTooLarge},
+		{"huge declared", service, headerOK + "Content-Length: 999999\r\n\r\n", failed, errTooLarge},
+		{"huge chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048), failed, errTooLarge},
+		{"huge head", service, headerOK + "X: " + strings.Repeat("x", maxResponseHeader) + "\r\n\r\n", failed, errMalformed},
 		{"other attempt", service, "HTTP/1.1 200 OK\r\nFlamingowind-Attempt: other\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
 		{"no attempt", service, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
-		{"two attempts", service, headOK + "Flamingowind-Attempt: ID\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
-		{"upgrade", service, "HTTP/1.1 101 Switching Protocols\r\nFlamingowind-Attempt: ID\r\n\r\n", failed, errGarbage},
-		{"no JSON", model, headOK + "Content-Length: 3\r\n\r\nabc", failed, errGarbage},
-		{"no stream", stream, headOK + "Content-Length: 2\r\n\r\n{}", failed, errGarbage},
-		{"stream of nothing", stream, headStream, died, errBroken},
-		{"event of garbage", stream, headStream + "data: abc\n\n", failed, errGarbage},
-		{"event of list", stream, headStream + "data: []\n\n", failed, errGarbage},
-		{"empty event", stream, headStream + "data:\n\n", failed, errGarbage},
-		{"two data lines", stream, headStream + "data: {}\ndata: {}\n\n", failed, errGarbage},
-		{"bad id", stream, headStream + "id: -1\ndata: {}\n\n", failed, errGarbage},
-		{"gap", stream, headStream + eventText(0) + eventText(2), failed, errGarbage},
-		{"huge event", stream, headStream + "data: " + strings.Repeat("x", 2048), failed, errTooMuch},
-		{"huge stream", stream, headStream + eventsText(0, 500), failed, errTooMuch},
+		{"two attempts", service, headerOK + "Flamingowind-Attempt: ID\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
+		{"upgrade", service, "HTTP/1.1 101 Switching Protocols\r\nFlamingowind-Attempt: ID\r\n\r\n", failed, errMalformed},
+		{"no JSON", model, headerOK + "Content-Length: 3\r\n\r\nabc", failed, errMalformed},
+		{"no stream", stream, headerOK + "Content-Length: 2\r\n\r\n{}", failed, errMalformed},
+		{"stream of nothing", stream, headerStream, died, errConnBroken},
+		{"event of garbage", stream, headerStream + "data: abc\n\n", failed, errMalformed},
+		{"event of list", stream, headerStream + "data: []\n\n", failed, errMalformed},
+		{"empty event", stream, headerStream + "data:\n\n", failed, errMalformed},
+		{"two data lines", stream, headerStream + "data: {}\ndata: {}\n\n", failed, errMalformed},
+		{"bad id", stream, headerStream + "id: -1\ndata: {}\n\n", failed, errMalformed},
+		{"gap", stream, headerStream + eventText(0) + eventText(2), failed, errMalformed},
+		{"huge event", stream, headerStream + "data: " + strings.Repeat("x", 2048), failed, errTooLarge},
+		{"huge stream", stream, headerStream + eventsText(0, 500), failed, errTooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			up := newUpstream(t, hijacked(c.answer))
+			up := newUpstream(t, rawResponse(c.answer))
 			d := New(smallLimits())
 			defer d.Close()
 			slot := &fakeSlot{url: up.URL}
@@ -85,9 +85,9 @@
 			if r.Err == nil {
 				t.Fatal("taken for whole")
 			}
-			same(t, "message", c.fault.Error(), r.Err.Message)
-			same(t, "verdict", verdict.MayHaveRun, r.Verdict)
-			same(t, "outcome", []wire.Outcome{c.outcome}, slot.outcome)
+			checkEqual(t, "message", c.fault.Error(), r.Err.Message)
+			checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
+			checkEqual(t, "outcome", []wire.Outcome{c.outcome}, slot.outcomes)
 		})
 	}
 }
@@ -116,9 +116,9 @@
 	defer d.Close()
 	for range 3 {
 		r := d.Do(t.Context(), &fakeSlot{url: up.URL}, &Call{Method: http.MethodPost, Body: []byte("x")}, nil)
-		same(t, "message", errWrongID.Error(), r.Err.Message)
+		checkEqual(t, "message", errWrongID.Error(), r.Err.Message)
 	}
-	same(t, "connections", int32(3), conns.Load())
+	checkEqual(t, "connections", int32(3), conns.Load())
 }
 
 // An upstream takes a request and then says nothing, with its connection open. The
@@ -134,7 +134,7 @@
 				_, _ = io.Copy(io.Discard, r.Body) // else net/http doesn't watch the connection
 				if r.Method == http.MethodDelete {
 					cancelled <- struct{}{}
-					echo(w, r)
+					echoAttempt(w, r)
 					return
 				}
 				if call.Stream {
@@ -147,9 +147,9 @@
 			d := New(l)
 			defer d.Close()
 			r := d.Do(t.Context(), &fakeSlot{url: up.URL}, call, new(fakeSink))
-			same(t, "verdict", verdict.MayHaveRun, r.Verdict)
-			same(t, "outcome", wire.OutcomeFailed, r.Outcome)
-			same(t, "status", http.StatusGatewayTimeout, r.Err.Status)
+			checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
+			checkEqual(t, "outcome", wire.OutcomeFailed, r.Outcome)
+			checkEqual(t, "status", http.StatusGatewayTimeout, r.Err.Status)
 			<-cancelled
 		})
 	}
@@ -164,16 +164,16 @@
 			if dies {
 				_ = up.Listener.Close()
 			}
-			hijacked(headOK+"\r\nabc")(w, r)
+			rawResponse(headerOK+"\r\nabc")(w, r)
 		})
 		r, slot, _ := do(t, up.URL, &Call{Method: http.MethodPost, Body: []byte("x")})
 		if !dies {
-			whole(t, r)
-			same(t, "body", "abc", string(r.Body))
+			requireComplete(t, r)
+			checkEqual(t, "body", "abc", string(r.Body))
 			continue
 		}
-		same(t, "failed", true, r.Err != nil)
-		same(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-		same(t, "slot.outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcome)
+		checkEqual(t, "failed", true, r.Err != nil)
+		checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
+		checkEqual(t, "slot.outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
 	}
 }
--- a/pkg/dispatch/gate.go
+++ b/pkg/dispatch/gate.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	errLapsed = errors.ConstError("the grant lapsed before the first byte")
-	errSealed = errors.ConstError("the attempt has ended")
+	errGrantExpired = errors.ConstError("the grant lapsed before the first byte")
+	errSealed       = errors.ConstError("the attempt has ended")
 )
 
 type gateState uint8
 
 const (
-	gateNew    gateState = iota // no byte can have left
-	gateOpen                    // bytes may have left
-	gateLapsed                  // Start refused: no byte left
-	gateSealed                  // ended before any byte
+	gateNew     gateState = iota // no byte can have left
+	gateOpen                     // bytes may have left
+	gateExpired                  // Start refused: no byte left
+	gateSealed                   // ended before any byte
 )
 
 // gate stands before each write of one attempt's connection, and so knows whether a
@@ -33,47 +33,47 @@
 type gate struct {
 	start func() bool
 
-	mu     sync.Mutex
-	state  gateState
-	conn   *conn
-	began  time.Time
-	reused bool // the connection at hand has carried requests before
+	mu           sync.Mutex
+	state        gateState
+	conn         *conn
+	firstWriteAt time.Time
+	reused       bool // the connection at hand has carried requests before
 }
 
-func (g *gate) pass(c *conn) error {
+func (g *gate) admitWrite(c *conn) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.state == gateOpen && g.conn == c {
 		return nil
 	}
-	if g.state == gateLapsed {
-		return errLapsed
+	if g.state == gateExpired {
+		return errGrantExpired
 	}
 	if g.state != gateNew {
 		return errSealed
 	}
 	if g.start != nil && !g.start() {
-		g.state = gateLapsed
-		return errLapsed
+		g.state = gateExpired
+		return errGrantExpired
 	}
 	g.state = gateOpen
 	g.conn = c
-	g.began = time.Now()
+	g.firstWriteAt = time.Now()
 	return nil
 }
 
-// beganAt is the time of the first write.
-func (g *gate) beganAt() time.Time {
+// firstWrite is the time of the first write.
+func (g *gate) firstWrite() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.began
+	return g.firstWriteAt
 }
 
-// ended reports whether the connection that carried the request has ended.
-func (g *gate) ended() bool {
+// connEnded reports whether the connection that carried the request has connEnded.
+func (g *gate) connEnded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.conn != nil && g.conn.ended.Load()
+	return g.conn != nil && g.conn.readFailed.Load()
 }
 
 // seal ends the attempt for writes that haven't begun and gives the final state.
@@ -86,19 +86,19 @@
 	return g.state
 }
 
-// fresh reports whether no byte has left and the connection was a kept-alive one.
-func (g *gate) fresh() bool {
+// staleConn reports whether no byte has left and the connection was a kept-alive one.
+func (g *gate) staleConn() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.state == gateNew && g.reused
 }
 
-// drop closes the connection that carried the request.
-func (g *gate) drop() {
+// dropConn closes the connection that carried the request.
+func (g *gate) dropConn() {
 	g.mu.Lock()
 	c := g.conn
 	g.mu.Unlock()
 	if c != nil {
-		c.drop(g)
+		c.dropFor(g)
 	}
 }
--- a/pkg/dispatch/header.go
+++ b/pkg/dispatch/header.go
@@ -13,7 +13,7 @@
 	HeaderOrg = "Flamingowind-Org"
 )
 
-const ownPrefix = "Flamingowind-"
+const reservedPrefix = "Flamingowind-"
 
 // hopByHop are the headers of one connection (RFC 9110, section 7.6.1), and those that
 // each side sets by itself.
@@ -26,7 +26,7 @@
 func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
-		if !strings.HasPrefix(name, ownPrefix) {
+		if !strings.HasPrefix(name, reservedPrefix) {
 			out[name] = values
 		}
 	}
--- a/pkg/dispatch/meter.go
+++ b/pkg/dispatch/meter.go
@@ -9,37 +9,37 @@
 
 // Progress is told after this many tokens or this much time, whichever is first.
 const (
-	progressTokens = 16
-	progressEvery  = 100 * time.Millisecond
+	progressTokens   = 16
+	progressInterval = 100 * time.Millisecond
 )
 
 // meter measures one streamed answer.
 type meter struct {
-	slot   sched.Slot
-	gap    func(time.Duration)
-	began  time.Time
-	first  time.Time
-	last   time.Time
-	events int
-	usage  int
-	told   int
-	toldAt time.Time
+	slot       sched.Slot
+	onGap      func(time.Duration)
+	sentAt     time.Time
+	firstAt    time.Time
+	lastAt     time.Time
+	events     int
+	usage      int
+	reported   int
+	reportedAt time.Time
 }
 
-func (m *meter) event(now time.Time, data []byte) {
-	if n, ok := usageOf(data); ok {
+func (m *meter) observe(now time.Time, data []byte) {
+	if n, ok := completionTokensOf(data); ok {
 		m.usage = max(m.usage, n)
 		return
 	}
 	m.events++
 	if m.events == 1 {
-		m.first, m.toldAt = now, now
-	} else if m.gap != nil {
-		m.gap(now.Sub(m.last))
+		m.firstAt, m.reportedAt = now, now
+	} else if m.onGap != nil {
+		m.onGap(now.Sub(m.lastAt))
 	}
-	m.last = now
-	if m.events-m.told >= progressTokens || now.Sub(m.toldAt) >= progressEvery {
-		m.told, m.toldAt = m.events, now
+	m.lastAt = now
+	if m.events-m.reported >= progressTokens || now.Sub(m.reportedAt) >= progressInterval {
+		m.reported, m.reportedAt = m.events, now
 		m.slot.Progress(wire.Units(m.events))
 	}
 }
@@ -52,16 +52,16 @@
 	return m.events
 }
 
-func (m *meter) firstTime() time.Duration {
+func (m *meter) timeToFirst() time.Duration {
 	if m.events == 0 {
 		return 0
 	}
-	return m.first.Sub(m.began)
+	return m.firstAt.Sub(m.sentAt)
 }
 
-func (m *meter) step() time.Duration {
+func (m *meter) meanInterval() time.Duration {
 	if m.events < 2 {
 		return 0
 	}
-	return m.last.Sub(m.first) / time.Duration(m.events-1)
+	return m.lastAt.Sub(m.firstAt) / time.Duration(m.events-1)
 }
--- a/pkg/dispatch/plain.go
+++ b/pkg/dispatch/plain.go
@@ -20,34 +20,34 @@
 func (a *attempt) plain() Result {
 	ctx, stop := context.WithCancelCause(a.ctx)
 	defer stop(nil)
-	timer := time.AfterFunc(a.d.limits.Answer, func() { stop(errHang) })
+	timer := time.AfterFunc(a.d.limits.Answer, func() { stop(errTimeout) })
 	defer timer.Stop()
 	resp, err := a.send(ctx)
 	if err != nil {
-		return a.failed(err)
+		return a.failedResult(err)
 	}
-	return a.answer(ctx, resp)
+	return a.readResponse(ctx, resp)
 }
 
-// answer takes the rest of an answer that isn't streamed.
-func (a *attempt) answer(ctx context.Context, resp *http.Response) Result {
+// readResponse takes the rest of an readResponse that isn't streamed.
+func (a *attempt) readResponse(ctx context.Context, resp *http.Response) Result {
 	defer resp.Body.Close()
-	body, err := a.readWhole(ctx, resp)
+	body, err := a.readBody(ctx, resp)
 	if err != nil {
-		return a.failed(err)
+		return a.failedResult(err)
 	}
 	if a.call.Model && !json.Valid(body) {
-		a.gate.drop()
-		return a.failed(errGarbage)
+		a.gate.dropConn()
+		return a.failedResult(errMalformed)
 	}
-	if refusedUnrun(resp) {
-		return a.refused()
+	if isRefusal(resp) {
+		return a.refusedResult()
 	}
-	return a.whole(resp, body)
+	return a.completeResult(resp, body)
 }
 
-// refused makes the Result of an upstream's own statement that it ran nothing.
-func (a *attempt) refused() Result {
+// refusedResult makes the Result of an upstream's own statement that it ran nothing.
+func (a *attempt) refusedResult() Result {
 	return Result{
 		Verdict: verdict.NotRun,
 		Outcome: wire.OutcomeFailed,
@@ -55,13 +55,13 @@
 	}
 }
 
-func refusedUnrun(resp *http.Response) bool {
+func isRefusal(resp *http.Response) bool {
 	busy := resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable
 	return busy && verdict.Parse(resp.Header.Get(verdict.Header)) == verdict.NotRun
 }
 
-func (a *attempt) whole(resp *http.Response, body []byte) Result {
-	elapsed := time.Since(a.meter.began)
+func (a *attempt) completeResult(resp *http.Response, body []byte) Result {
+	elapsed := time.Since(a.meter.sentAt)
 	r := Result{
 		Verdict: StatusVerdict(resp.StatusCode),
 		Outcome: wire.OutcomeServed,
@@ -74,7 +74,7 @@
 		r.Outcome = wire.OutcomeFailed
 	}
 	if a.call.Model {
-		r.Tokens, _ = usageOf(body)
+		r.Tokens, _ = completionTokensOf(body)
 		if r.Tokens > 0 {
 			r.Step = elapsed / time.Duration(r.Tokens)
 		}
@@ -94,31 +94,31 @@
 	return verdict.MayHaveRun
 }
 
-func (a *attempt) readWhole(ctx context.Context, resp *http.Response) ([]byte, error) {
+func (a *attempt) readBody(ctx context.Context, resp *http.Response) ([]byte, error) {
 	if a.call.Method == http.MethodHead || resp.Body == http.NoBody {
 		return nil, nil
 	}
 	limit := a.d.limits.MaxAnswer
 	if resp.ContentLength > limit {
-		return nil, errTooMuch
+		return nil, errTooLarge
 	}
 	body, err := readUpTo(resp.Body, resp.ContentLength, limit)
 	if err == nil && int64(len(body)) > limit {
-		return nil, errTooMuch
+		return nil, errTooLarge
 	}
 	if err == nil && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		err = a.confirm(ctx)
+		err = a.confirmAlive(ctx)
 	}
 	if err != nil {
-		return nil, broke(a.ctx, ctx, err, false)
+		return nil, classifyError(a.ctx, ctx, err, false)
 	}
 	return body, nil
 }
 
-// confirm asks, after an answer that only the connection's end has ended, whether the upstream lives.
+// confirmAlive asks, after an answer that only the connection's end has ended, whether the upstream lives.
 // A process that dies closes its connections in order, too, but takes no new one.
-func (a *attempt) confirm(ctx context.Context) error {
-	target, err := a.target("", "")
+func (a *attempt) confirmAlive(ctx context.Context) error {
+	target, err := a.resolve("", "")
 	if err != nil {
 		return err
 	}
--- a/pkg/dispatch/reader.go
+++ b/pkg/dispatch/reader.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	eventBuffer = 4 << 10  // first size of a stream's buffer
-	keepBuffer  = 64 << 10 // larger buffers aren't kept for other streams
+	initialBufferSize = 4 << 10  // first size of a stream's buffer
+	maxPooledBuffer   = 64 << 10 // larger buffers aren't kept for other streams
 )
 
 var buffers = sync.Pool{New: func() any {
-	b := make([]byte, eventBuffer)
+	b := make([]byte, initialBufferSize)
 	return &b
 }}
 
@@ -29,7 +29,7 @@
 	pooled  *[]byte
 	buf     []byte
 	scanner sse.Scanner
-	begin   int // first byte that wasn't returned yet
+	start   int // first byte that wasn't returned yet
 	end     int // end of what was read
 }
 
@@ -40,40 +40,40 @@
 
 // release gives the buffer back; nothing returned by cut is valid afterwards.
 func (r *eventReader) release() {
-	if cap(r.buf) <= keepBuffer {
+	if cap(r.buf) <= maxPooledBuffer {
 		*r.pooled = r.buf
 		buffers.Put(r.pooled)
 	}
 	r.pooled, r.buf = nil, nil
 }
 
-// cut returns the first complete event of the buffer with its blank line, nil when
+// nextBuffered returns the first complete event of the buffer with its blank line, nil when
 // there is none. It is valid until the next fill.
-func (r *eventReader) cut() ([]byte, error) {
+func (r *eventReader) nextBuffered() ([]byte, error) {
 	for {
-		n, event := r.scanner.Scan(r.buf[r.begin:r.end])
+		n, event := r.scanner.Scan(r.buf[r.start:r.end])
 		if n == 0 {
 			return nil, nil
 		}
 		if event && n > r.max {
-			return nil, errTooMuch
+			return nil, errTooLarge
 		}
-		raw := r.buf[r.begin : r.begin+n]
-		r.begin += n
+		raw := r.buf[r.start : r.start+n]
+		r.start += n
 		if event {
 			return raw, nil
 		}
 	}
 }
 
-// last returns an event at the end of the stream that lacks only the LF of its last CRLF, nil when
+// finalEvent returns an event at the end of the stream that lacks only the LF of its finalEvent CRLF, nil when
 // there is none.
-func (r *eventReader) last() []byte {
-	rest := r.buf[r.begin:r.end]
+func (r *eventReader) finalEvent() []byte {
+	rest := r.buf[r.start:r.end]
 	if !r.scanner.Whole(rest) {
 		return nil
 	}
-	r.begin, r.scanner = r.end, sse.Scanner{}
+	r.start, r.scanner = r.end, sse.Scanner{}
 	return rest
 }
 
@@ -81,12 +81,12 @@
 // io.ErrUnexpectedEOF: an orderly end shows by its end marker, after which nobody reads.
 func (r *eventReader) fill() error {
 	if r.full() {
-		return errTooMuch
+		return errTooLarge
 	}
-	if r.begin > 0 {
-		copy(r.buf, r.buf[r.begin:r.end])
-		r.end -= r.begin
-		r.begin = 0
+	if r.start > 0 {
+		copy(r.buf, r.buf[r.start:r.end])
+		r.end -= r.start
+		r.start = 0
 	}
 	if r.end == len(r.buf) {
 		r.grow()
@@ -105,7 +105,7 @@
 // full reports whether the buffer holds as much of an event as it may have. Whether one that lacks
 // the LF of its last CRLF has more shows with the next byte.
 func (r *eventReader) full() bool {
-	rest := r.buf[r.begin:r.end]
+	rest := r.buf[r.start:r.end]
 	return len(rest) > r.max || len(rest) == r.max && !r.scanner.Whole(rest)
 }
 
--- a/pkg/dispatch/reader_test.go
+++ b/pkg/dispatch/reader_test.go
@@ -16,8 +16,8 @@
 	r := newEventReader(src, max)
 	defer r.release()
 	for {
-		raw, err := r.cut()
-		for ; raw != nil; raw, err = r.cut() {
+		raw, err := r.nextBuffered()
+		for ; raw != nil; raw, err = r.nextBuffered() {
 			events = append(events, bytes.Clone(raw))
 		}
 		if err != nil {
@@ -38,9 +38,9 @@
 			text += "data: " + strings.Repeat("b", size-len("data: ")-2*len(end)) + end + end
 			whole, wholeErr := readAll(strings.NewReader(text+"data: c"), max)
 			single, singleErr := readAll(iotest.OneByteReader(strings.NewReader(text+"data: c")), max)
-			same(t, "end", wholeErr.Error(), singleErr.Error())
-			same(t, "events", whole, single)
-			same(t, "the event passes", size <= max, len(whole) == 2)
+			checkEqual(t, "end", wholeErr.Error(), singleErr.Error())
+			checkEqual(t, "events", whole, single)
+			checkEqual(t, "the event passes", size <= max, len(whole) == 2)
 		}
 	}
 }
@@ -54,13 +54,13 @@
 		const max = 512
 		whole, wholeErr := readAll(bytes.NewReader(input), max)
 		single, singleErr := readAll(iotest.OneByteReader(bytes.NewReader(input)), max)
-		same(t, "end", wholeErr.Error(), singleErr.Error())
-		same(t, "events", whole, single)
+		checkEqual(t, "end", wholeErr.Error(), singleErr.Error())
+		checkEqual(t, "events", whole, single)
 		for _, raw := range whole {
-			same(t, "event is of the input", true, bytes.Contains(input, raw))
+			checkEqual(t, "event is of the input", true, bytes.Contains(input, raw))
 			e, err := parseEvent(raw)
 			if err == nil && e.data != nil && !e.done {
-				usageOf(e.data)
+				completionTokensOf(e.data)
 			}
 		}
 	})
@@ -73,21 +73,21 @@
 		`{"usage":{"completion_tokens":-3}}`:               0,
 		`{"usage":{"completion_tokens":9999999999999999}}`: 0,
 	} {
-		got, _ := usageOf([]byte(text))
-		same(t, text, want, got)
+		got, _ := completionTokensOf([]byte(text))
+		checkEqual(t, text, want, got)
 	}
 }
 
 func TestMeter(t *testing.T) {
 	slot := new(fakeSlot)
 	began := time.Unix(100, 0)
-	m := meter{slot: slot, began: began}
+	m := meter{slot: slot, sentAt: began}
 	for n := range 40 {
-		m.event(began.Add(time.Duration(50+n)*time.Millisecond), []byte("{}"))
+		m.observe(began.Add(time.Duration(50+n)*time.Millisecond), []byte("{}"))
 	}
-	m.event(began.Add(time.Second), []byte(`{"usage":{"completion_tokens":38}}`))
-	same(t, "progress", []wire.Units{16, 32}, slot.progress)
-	same(t, "first", 50*time.Millisecond, m.firstTime())
-	same(t, "step", time.Millisecond, m.step())
-	same(t, "tokens", 38, m.tokens())
+	m.observe(began.Add(time.Second), []byte(`{"usage":{"completion_tokens":38}}`))
+	checkEqual(t, "progress", []wire.Units{16, 32}, slot.progress)
+	checkEqual(t, "first", 50*time.Millisecond, m.timeToFirst())
+	checkEqual(t, "step", time.Millisecond, m.meanInterval())
+	checkEqual(t, "tokens", 38, m.tokens())
 }
--- a/pkg/dispatch/replay_test.go
+++ b/pkg/dispatch/replay_test.go
@@ -12,9 +12,9 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// closer is an upstream that answers a connection's first request and keeps the
+// closingUpstream is an upstream that answers a connection's first request and keeps the
 // connection alive, then closes it as soon as it has read the second one.
-func closer(t *testing.T) (url string, requests *atomic.Int32) {
+func closingUpstream(t *testing.T) (url string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,13 +28,13 @@
 			if err != nil {
 				return
 			}
-			go closeUnderSecond(c, requests)
+			go closeOnSecondRequest(c, requests)
 		}
 	}()
 	return "http://" + l.Addr().String(), requests
 }
 
-func closeUnderSecond(c net.Conn, requests *atomic.Int32) {
+func closeOnSecondRequest(c net.Conn, requests *atomic.Int32) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := range 2 {
@@ -66,17 +66,17 @@
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			url, requests := closer(t)
+			url, requests := closingUpstream(t)
 			d := New(testLimits())
 			defer d.Close()
 			first := d.Do(t.Context(), &fakeSlot{url: url}, call, nil)
-			whole(t, first)
+			requireComplete(t, first)
 			slot := &fakeSlot{url: url}
 			second := d.Do(t.Context(), slot, call, nil)
-			same(t, "failed", true, second.Err != nil)
-			same(t, "verdict", verdict.MayHaveRun, second.Verdict)
-			same(t, "outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcome)
-			same(t, "requests at the upstream", int32(2), requests.Load())
+			checkEqual(t, "failed", true, second.Err != nil)
+			checkEqual(t, "verdict", verdict.MayHaveRun, second.Verdict)
+			checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
+			checkEqual(t, "requests at the upstream", int32(2), requests.Load())
 		})
 	}
 }
--- a/pkg/dispatch/resume.go
+++ b/pkg/dispatch/resume.go
@@ -12,7 +12,7 @@
 // canResume reports whether the engine can go on with this attempt: its connection
 // broke or fell silent after a byte of the request may have reached it.
 func (a *attempt) canResume(err error) bool {
-	if !errors.Is(err, errBroken) && !errors.Is(err, errHang) {
+	if !errors.Is(err, errConnBroken) && !errors.Is(err, errTimeout) {
 		return false
 	}
 	return a.gate.seal() == gateOpen && a.call.resumes(a.slot.Upstream())
@@ -23,10 +23,10 @@
 	pause := a.d.limits.Backoff
 	for range a.d.limits.Resumes {
 		if !a.wait(pause) {
-			return errCaller
+			return errCallerGone
 		}
 		pause *= 2
-		err = a.again()
+		err = a.resumeOnce()
 		if err == nil || !a.canResume(err) {
 			return err
 		}
@@ -45,27 +45,27 @@
 	}
 }
 
-// again asks for the rest of the stream on a new connection and relays it.
-func (a *attempt) again() error {
+// resumeOnce asks for the rest of the stream on a new connection and relays it.
+func (a *attempt) resumeOnce() error {
 	s := a.newSource()
 	defer s.close()
-	target, err := a.target(a.streamPath(), "from="+strconv.FormatInt(a.next, 10))
+	target, err := a.resolve(a.streamPath(), "from="+strconv.FormatInt(a.nextEvent, 10))
 	if err != nil {
-		return errors.WithType(err, errBroken)
+		return errors.WithType(err, errConnBroken)
 	}
 	g := new(gate)
-	ctx := httptrace.WithClientTrace(s.ctx, &httptrace.ClientTrace{GotConn: g.arm})
+	ctx := httptrace.WithClientTrace(s.ctx, &httptrace.ClientTrace{GotConn: g.attach})
 	req := (&http.Request{Method: http.MethodGet, URL: target, Header: http.Header{HeaderAttempt: {a.id}}}).WithContext(ctx)
 	resp, err := a.d.transport.RoundTrip(req)
 	if err != nil {
-		return broke(a.ctx, s.ctx, err, g.ended())
+		return classifyError(a.ctx, s.ctx, err, g.connEnded())
 	}
-	if resp, err = a.checked(resp, g); err != nil {
+	if resp, err = a.checkEcho(resp, g); err != nil {
 		return err
 	}
 	if !isEventStream(resp) {
 		_ = resp.Body.Close()
-		return errors.WithType(errors.Errorf("resume answered %d", resp.StatusCode), errLost)
+		return errors.WithType(errors.Errorf("resume answered %d", resp.StatusCode), errStreamLost)
 	}
 	s.open(resp, a.d.limits.MaxEvent)
 	return a.relay(s)
--- a/pkg/dispatch/source.go
+++ b/pkg/dispatch/source.go
@@ -11,19 +11,19 @@
 
 // source is one connection's part of a streamed answer.
 type source struct {
-	caller context.Context
-	ctx    context.Context
-	stop   context.CancelCauseFunc
-	hang   *time.Timer
-	limit  time.Duration
-	resp   *http.Response
-	events *eventReader
+	caller  context.Context
+	ctx     context.Context
+	stop    context.CancelCauseFunc
+	timer   *time.Timer
+	timeout time.Duration
+	resp    *http.Response
+	events  *eventReader
 }
 
 func (a *attempt) newSource() *source {
-	s := &source{caller: a.ctx, limit: a.d.limits.Hang}
+	s := &source{caller: a.ctx, timeout: a.d.limits.Hang}
 	s.ctx, s.stop = context.WithCancelCause(a.ctx)
-	s.hang = time.AfterFunc(s.limit, func() { s.stop(errHang) })
+	s.timer = time.AfterFunc(s.timeout, func() { s.stop(errTimeout) })
 	return s
 }
 
@@ -35,13 +35,13 @@
 // next gives the next event. The hang timer runs only while the upstream is waited
 // for: a caller that reads slowly must not make its upstream look hung.
 func (s *source) next() (event, error) {
-	raw, err := s.events.cut()
+	raw, err := s.events.nextBuffered()
 	for raw == nil && err == nil {
-		s.hang.Reset(s.limit)
-		end := s.events.fill()
-		s.hang.Stop()
-		if raw, err = s.events.cut(); raw == nil && err == nil {
-			raw, err = s.ended(end)
+		s.timer.Reset(s.timeout)
+		fillErr := s.events.fill()
+		s.timer.Stop()
+		if raw, err = s.events.nextBuffered(); raw == nil && err == nil {
+			raw, err = s.handleEnd(fillErr)
 		}
 	}
 	if err != nil {
@@ -50,32 +50,32 @@
 	return parseEvent(raw)
 }
 
-// ended gives what is left when the source ended with err; nil for no end.
-func (s *source) ended(err error) ([]byte, error) {
-	if err == nil || errors.Is(err, errTooMuch) {
+// handleEnd gives what is left when the source handleEnd with err; nil for no end.
+func (s *source) handleEnd(err error) ([]byte, error) {
+	if err == nil || errors.Is(err, errTooLarge) {
 		return nil, err
 	}
-	if raw := s.events.last(); raw != nil {
+	if raw := s.events.finalEvent(); raw != nil {
 		return raw, nil
 	}
-	return nil, broke(s.caller, s.ctx, err, false)
+	return nil, classifyError(s.caller, s.ctx, err, false)
 }
 
-// drainTime bounds the wait for the end of a body after its end marker.
-const drainTime = 50 * time.Millisecond
+// drainTimeout bounds the wait for the end of a body after its end marker.
+const drainTimeout = 50 * time.Millisecond
 
 // drain reads the body's end after the end marker, so that the connection can be used
 // again. Anything more than the end closes the connection.
 func (s *source) drain() {
-	if s.events.begin != s.events.end {
+	if s.events.start != s.events.end {
 		return
 	}
-	s.hang.Reset(drainTime)
+	s.timer.Reset(drainTimeout)
 	_, _ = io.ReadFull(s.resp.Body, s.events.buf[:1])
 }
 
 func (s *source) close() {
-	s.hang.Stop()
+	s.timer.Stop()
 	if s.resp != nil {
 		_ = s.resp.Body.Close()
 		s.events.release()
--- a/pkg/dispatch/status_test.go
+++ b/pkg/dispatch/status_test.go
@@ -29,18 +29,18 @@
 	}
 	for _, c := range cases {
 		up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
-			echo(w, r)
+			echoAttempt(w, r)
 			if c.header != "" {
 				w.Header().Set(verdict.Header, c.header)
 			}
 			w.WriteHeader(c.status)
 		})
 		r, slot, _ := do(t, up.URL, &Call{Method: http.MethodPost, Units: 16})
-		same(t, "verdict", c.verdict, r.Verdict)
-		same(t, "outcome", []wire.Outcome{c.outcome}, slot.outcome)
+		checkEqual(t, "verdict", c.verdict, r.Verdict)
+		checkEqual(t, "outcome", []wire.Outcome{c.outcome}, slot.outcomes)
 		if r.Err == nil {
-			same(t, "status", c.status, r.Status)
-			same(t, "cost", wire.Units(16), r.Cost)
+			checkEqual(t, "status", c.status, r.Status)
+			checkEqual(t, "cost", wire.Units(16), r.Cost)
 		}
 	}
 }
@@ -48,13 +48,13 @@
 // An engine refuses a request for a stream: the caller gets the engine's own error.
 func TestErrorInPlaceOfStream(t *testing.T) {
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
-		echo(w, r)
+		echoAttempt(w, r)
 		w.WriteHeader(http.StatusBadRequest)
 		_, _ = w.Write([]byte(`{"error":{}}`))
 	})
 	r, _, sink := do(t, up.URL, streamCall(true))
-	whole(t, r)
-	same(t, "status", http.StatusBadRequest, r.Status)
-	same(t, "body", `{"error":{}}`, string(r.Body))
-	same(t, "begun", 0, sink.begun)
+	requireComplete(t, r)
+	checkEqual(t, "status", http.StatusBadRequest, r.Status)
+	checkEqual(t, "body", `{"error":{}}`, string(r.Body))
+	checkEqual(t, "begun", 0, sink.begins)
 }
--- a/pkg/dispatch/stream.go
+++ b/pkg/dispatch/stream.go
@@ -19,7 +19,7 @@
 	resp, err := a.send(s.ctx)
 	if err == nil && !isEventStream(resp) {
 		defer s.close()
-		return a.notStreamed(s, resp)
+		return a.nonStreamResponse(s, resp)
 	}
 	if err == nil {
 		s.open(resp, a.d.limits.MaxEvent)
@@ -30,24 +30,24 @@
 		err = a.resume(err)
 	}
 	if err != nil {
-		return a.failed(err)
+		return a.failedResult(err)
 	}
-	return a.streamed()
+	return a.streamResult()
 }
 
 func isEventStream(resp *http.Response) bool {
-	kind, _, _ := strings.Cut(resp.Header.Get("Content-Type"), ";")
-	return resp.StatusCode == http.StatusOK && strings.TrimSpace(kind) == eventStream
+	mediaType, _, _ := strings.Cut(resp.Header.Get("Content-Type"), ";")
+	return resp.StatusCode == http.StatusOK && strings.TrimSpace(mediaType) == eventStream
 }
 
-// notStreamed takes an error answer to a request for a stream.
-func (a *attempt) notStreamed(s *source, resp *http.Response) Result {
+// nonStreamResponse takes an error answer to a request for a stream.
+func (a *attempt) nonStreamResponse(s *source, resp *http.Response) Result {
 	if resp.StatusCode < http.StatusBadRequest {
-		a.gate.drop()
+		a.gate.dropConn()
 		_ = resp.Body.Close()
-		return a.failed(errors.WithType(errors.New("answer isn't a stream"), errGarbage))
+		return a.failedResult(errors.WithType(errors.New("answer isn't a stream"), errMalformed))
 	}
-	return a.answer(s.ctx, resp)
+	return a.readResponse(s.ctx, resp)
 }
 
 // relay passes events on until the end marker.
@@ -57,14 +57,14 @@
 		if err != nil {
 			return err
 		}
-		fresh, err := a.inOrder(e)
+		isNew, err := a.checkOrder(e)
 		if err != nil {
 			return err
 		}
-		if !fresh {
+		if !isNew {
 			continue
 		}
-		if err := a.pass(e); err != nil {
+		if err := a.forwardEvent(e); err != nil {
 			return err
 		}
 		if e.done {
@@ -74,45 +74,45 @@
 	}
 }
 
-// inOrder guards against a resumed stream that repeats or skips events, which would
+// checkOrder guards against a resumed stream that repeats or skips events, which would
 // show as doubled or missing text: only the event with the next number passes, one
 // that has passed already is dropped, and a gap ends this connection.
-func (a *attempt) inOrder(e event) (bool, error) {
+func (a *attempt) checkOrder(e event) (bool, error) {
 	switch {
 	case e.data == nil:
 		return false, nil
 	case !e.hasID && (e.done || !a.call.resumes(a.slot.Upstream())):
 		return true, nil
 	case !e.hasID:
-		return false, errors.WithType(errors.New("event without id"), errGarbage)
-	case e.id < a.next:
+		return false, errors.WithType(errors.New("event without id"), errMalformed)
+	case e.id < a.nextEvent:
 		return false, nil
-	case e.id > a.next:
-		return false, errors.WithType(errors.Errorf("event %d came in place of %d", e.id, a.next), errGarbage)
+	case e.id > a.nextEvent:
+		return false, errors.WithType(errors.Errorf("event %d came in place of %d", e.id, a.nextEvent), errMalformed)
 	}
-	a.next++
+	a.nextEvent++
 	return true, nil
 }
 
-func (a *attempt) pass(e event) error {
-	a.bytes += int64(len(e.raw))
-	if a.bytes > a.d.limits.MaxStream {
-		return errTooMuch
+func (a *attempt) forwardEvent(e event) error {
+	a.streamBytes += int64(len(e.raw))
+	if a.streamBytes > a.d.limits.MaxStream {
+		return errTooLarge
 	}
 	if !e.done {
-		a.meter.event(time.Now(), e.data)
+		a.meter.observe(time.Now(), e.data)
 	}
-	if !a.begun {
-		a.begun = true
+	if !a.sinkBegun {
+		a.sinkBegun = true
 		a.sink.Begin(http.StatusOK, http.Header{"Content-Type": {eventStream}, "Cache-Control": {"no-cache"}})
 	}
 	if err := a.sink.Write(e.raw); err != nil {
-		return errors.WithType(err, errCaller)
+		return errors.WithType(err, errCallerGone)
 	}
 	return nil
 }
 
-func (a *attempt) streamed() Result {
+func (a *attempt) streamResult() Result {
 	tokens := a.meter.tokens()
 	return Result{
 		Verdict: verdict.Ran,
@@ -120,7 +120,7 @@
 		Status:  http.StatusOK,
 		Tokens:  tokens,
 		Cost:    a.cost(tokens),
-		First:   a.meter.firstTime(),
-		Step:    a.meter.step(),
+		First:   a.meter.timeToFirst(),
+		Step:    a.meter.meanInterval(),
 	}
 }
--- a/pkg/dispatch/stream_test.go
+++ b/pkg/dispatch/stream_test.go
@@ -14,14 +14,14 @@
 	text := eventsText(0, 40) + "id: 40\ndata: {\"usage\":{\"completion_tokens\": 77}}\n\n" + doneText
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) { sendEvents(w, r, text) })
 	r, slot, sink := do(t, up.URL, streamCall(true))
-	whole(t, r)
-	same(t, "r.Verdict", verdict.Ran, r.Verdict)
-	same(t, "sink.String", text, sink.String())
-	same(t, "r.Tokens", 77, r.Tokens)
-	same(t, "cost", wire.Units(77), r.Cost)
-	same(t, "slot.outcome", []wire.Outcome{wire.OutcomeServed}, slot.outcome)
-	same(t, "progress told", true, len(slot.progress) > 0)
-	same(t, "slot.starts", 1, slot.starts)
+	requireComplete(t, r)
+	checkEqual(t, "r.Verdict", verdict.Ran, r.Verdict)
+	checkEqual(t, "sink.String", text, sink.String())
+	checkEqual(t, "r.Tokens", 77, r.Tokens)
+	checkEqual(t, "cost", wire.Units(77), r.Cost)
+	checkEqual(t, "slot.outcome", []wire.Outcome{wire.OutcomeServed}, slot.outcomes)
+	checkEqual(t, "progress told", true, len(slot.progress) > 0)
+	checkEqual(t, "slot.starts", 1, slot.starts)
 }
 
 // Guards against streams that are taken for broken, as their lines end in CR or the last LF is missing.
@@ -31,8 +31,8 @@
 		for _, sent := range []string{text, strings.TrimSuffix(text, "\n")} {
 			up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) { sendEvents(w, r, sent) })
 			r, _, sink := do(t, up.URL, streamCall(true))
-			whole(t, r)
-			same(t, "sink.String", sent, sink.String())
+			requireComplete(t, r)
+			checkEqual(t, "sink.String", sent, sink.String())
 		}
 	}
 }
@@ -54,9 +54,9 @@
 		}
 	})
 	r, _, sink := do(t, up.URL, streamCall(true))
-	whole(t, r)
-	same(t, "sink.String", eventsText(0, 10)+doneText, sink.String())
-	same(t, "r.Tokens", 10, r.Tokens)
+	requireComplete(t, r)
+	checkEqual(t, "sink.String", eventsText(0, 10)+doneText, sink.String())
+	checkEqual(t, "r.Tokens", 10, r.Tokens)
 }
 
 // A stream breaks in the middle and its upstream can't resume: the attempt must end as
@@ -67,11 +67,11 @@
 		panic(http.ErrAbortHandler)
 	})
 	r, slot, sink := do(t, up.URL, streamCall(false))
-	same(t, "failed", true, r.Err != nil)
-	same(t, "begun", true, r.Begun)
-	same(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-	same(t, "sink.String", eventsText(0, 5), sink.String())
-	same(t, "slot.outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcome)
+	checkEqual(t, "failed", true, r.Err != nil)
+	checkEqual(t, "begun", true, r.Begun)
+	checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
+	checkEqual(t, "sink.String", eventsText(0, 5), sink.String())
+	checkEqual(t, "slot.outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
 }
 
 // An engine crashes under a request and is back within the resume's pauses, with no
@@ -82,12 +82,12 @@
 			sendEvents(w, r, eventsText(0, 2))
 			panic(http.ErrAbortHandler)
 		}
-		echo(w, r)
+		echoAttempt(w, r)
 		w.WriteHeader(http.StatusNotFound)
 	})
 	r, _, _ := do(t, up.URL, streamCall(true))
-	same(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-	same(t, "r.Outcome", wire.OutcomeDied, r.Outcome)
+	checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
+	checkEqual(t, "r.Outcome", wire.OutcomeDied, r.Outcome)
 }
 
 // The caller goes away in the middle of a stream. The engine would go on producing for
@@ -98,7 +98,7 @@
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
 			cancelled <- strings.TrimPrefix(r.URL.Path, "/v1/streams/")
-			echo(w, r)
+			echoAttempt(w, r)
 			return
 		}
 		posted <- r.Header.Get(HeaderAttempt)
@@ -109,7 +109,7 @@
 	defer d.Close()
 	slot := &fakeSlot{url: up.URL}
 	r := d.Do(context.Background(), slot, streamCall(true), &fakeSink{failAt: 2})
-	same(t, "r.Outcome", wire.OutcomeCanceled, r.Outcome)
-	same(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-	same(t, "cancelled attempt", <-posted, <-cancelled)
+	checkEqual(t, "r.Outcome", wire.OutcomeCanceled, r.Outcome)
+	checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
+	checkEqual(t, "cancelled attempt", <-posted, <-cancelled)
 }
--- a/pkg/dispatch/transport.go
+++ b/pkg/dispatch/transport.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	dialTimeout     = 2 * time.Second
-	keepAlive       = 15 * time.Second
-	idleTimeout     = 60 * time.Second
-	idlePerUpstream = 64
-	idleTotal       = 512
-	maxAnswerHeader = 32 << 10
-	connBuffer      = 4 << 10
+	dialTimeout        = 2 * time.Second
+	keepAliveInterval  = 15 * time.Second
+	idleTimeout        = 60 * time.Second
+	maxIdlePerUpstream = 64
+	maxIdleTotal       = 512
+	maxResponseHeader  = 32 << 10
+	connBufferSize     = 4 << 10
 )
 
 // newTransport makes a transport for HTTP/1.1 that keeps connections alive, follows
@@ -23,22 +23,22 @@
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Transport{
-		DialContext:            dialThrough(newDialer()),
+		DialContext:            gatedDial(newDialer()),
 		Protocols:              protocols,
 		DisableCompression:     true,
-		MaxIdleConns:           idleTotal,
-		MaxIdleConnsPerHost:    idlePerUpstream,
+		MaxIdleConns:           maxIdleTotal,
+		MaxIdleConnsPerHost:    maxIdlePerUpstream,
 		IdleConnTimeout:        idleTimeout,
 		TLSHandshakeTimeout:    dialTimeout,
-		MaxResponseHeaderBytes: maxAnswerHeader,
-		ReadBufferSize:         connBuffer,
-		WriteBufferSize:        connBuffer,
+		MaxResponseHeaderBytes: maxResponseHeader,
+		ReadBufferSize:         connBufferSize,
+		WriteBufferSize:        connBufferSize,
 	}
 }
 
-func newDialer() *net.Dialer { return &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive} }
+func newDialer() *net.Dialer { return &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval} }
 
-func dialThrough(dialer *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
+func gatedDial(dialer *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, addr)
 		if err != nil {
--- a/pkg/dispatch/unsent_test.go
+++ b/pkg/dispatch/unsent_test.go
@@ -22,10 +22,10 @@
 	_ = l.Close()
 	for name, call := range map[string]*Call{"plain": {Method: http.MethodPost}, "stream": streamCall(true)} {
 		r, slot, _ := do(t, url, call)
-		same(t, name+": verdict", verdict.NotRun, r.Verdict)
-		same(t, name+": code", verdict.CodeNoUpstream, r.Err.Code)
-		same(t, name+": starts", 0, slot.starts)
-		same(t, name+": outcome", []wire.Outcome{wire.OutcomeUnreachable}, slot.outcome)
+		checkEqual(t, name+": verdict", verdict.NotRun, r.Verdict)
+		checkEqual(t, name+": code", verdict.CodeNoUpstream, r.Err.Code)
+		checkEqual(t, name+": starts", 0, slot.starts)
+		checkEqual(t, name+": outcome", []wire.Outcome{wire.OutcomeUnreachable}, slot.outcomes)
 	}
 }
 
@@ -36,18 +36,18 @@
 	var requests atomic.Int32
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
-		echo(w, r)
+		echoAttempt(w, r)
 	})
 	d := New(testLimits())
 	defer d.Close()
 	call := &Call{Method: http.MethodPost, Body: []byte("x")}
 	for _, before := range []int32{0, 1} {
-		slot := &fakeSlot{url: up.URL, lapsed: true}
+		slot := &fakeSlot{url: up.URL, expired: true}
 		r := d.Do(t.Context(), slot, call, nil)
-		same(t, "verdict", verdict.NotRun, r.Verdict)
-		same(t, "outcome", []wire.Outcome{wire.OutcomeUnused}, slot.outcome)
-		same(t, "requests", before, requests.Load())
-		whole(t, d.Do(t.Context(), &fakeSlot{url: up.URL}, call, nil))
+		checkEqual(t, "verdict", verdict.NotRun, r.Verdict)
+		checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeUnused}, slot.outcomes)
+		checkEqual(t, "requests", before, requests.Load())
+		requireComplete(t, d.Do(t.Context(), &fakeSlot{url: up.URL}, call, nil))
 	}
 }
 
@@ -60,10 +60,10 @@
 	defer far.Close()
 	g := &gate{start: func() bool { t.Error("started after the seal"); return true }}
 	c := &conn{Conn: near}
-	c.hold(g)
-	same(t, "state", gateSealed, g.seal())
+	c.setGate(g)
+	checkEqual(t, "state", gateSealed, g.seal())
 	_, err := c.Write([]byte("GET"))
-	same(t, "error", errSealed.Error(), err.Error())
+	checkEqual(t, "error", errSealed.Error(), err.Error())
 }
 
 // The transport sends a request on one connection and, when that fails, takes a second
@@ -72,11 +72,11 @@
 	starts := 0
 	g := &gate{start: func() bool { starts++; return true }}
 	first, second := new(conn), new(conn)
-	same(t, "first write", nil, g.pass(first))
-	same(t, "more of it", nil, g.pass(first))
-	same(t, "other connection refused", true, g.pass(second) != nil)
-	same(t, "starts", 1, starts)
-	same(t, "state", gateOpen, g.seal())
+	checkEqual(t, "first write", nil, g.admitWrite(first))
+	checkEqual(t, "more of it", nil, g.admitWrite(first))
+	checkEqual(t, "other connection refused", true, g.admitWrite(second) != nil)
+	checkEqual(t, "starts", 1, starts)
+	checkEqual(t, "state", gateOpen, g.seal())
 }
 
 func TestCallerGoneBeforeTheFirstByte(t *testing.T) {
@@ -87,8 +87,8 @@
 	cancel()
 	slot := &fakeSlot{url: up.URL}
 	r := d.Do(ctx, slot, &Call{Method: http.MethodPost}, nil)
-	same(t, "verdict", verdict.NotRun, r.Verdict)
-	same(t, "outcome", []wire.Outcome{wire.OutcomeUnused}, slot.outcome)
+	checkEqual(t, "verdict", verdict.NotRun, r.Verdict)
+	checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeUnused}, slot.outcomes)
 }
 
 // A connection is dropped for a wrong answer when it is back in the pool already. The
@@ -99,10 +99,10 @@
 	defer far.Close()
 	c := &conn{Conn: near}
 	last, next := new(gate), new(gate)
-	c.hold(last)
-	c.drop(last)
-	c.hold(next)
+	c.setGate(last)
+	c.dropFor(last)
+	c.setGate(next)
 	_, err := c.Write([]byte("GET"))
-	same(t, "error", errDropped.Error(), err.Error())
-	same(t, "state", gateSealed, next.seal())
+	checkEqual(t, "error", errDropped.Error(), err.Error())
+	checkEqual(t, "state", gateSealed, next.seal())
 }
--- a/pkg/dispatch/usage.go
+++ b/pkg/dispatch/usage.go
@@ -2,16 +2,16 @@
 
 import "bytes"
 
-var completionTokens = []byte(`"completion_tokens":`)
+var completionTokensKey = []byte(`"completion_tokens":`)
 
-// usageOf finds usage.completion_tokens in valid JSON without allocating. Within a
+// completionTokensOf finds usage.completion_tokens in valid JSON without allocating. Within a
 // string the quotes would be escaped, so text of the answer can't be taken for it.
-func usageOf(data []byte) (int, bool) {
-	i := bytes.LastIndex(data, completionTokens)
+func completionTokensOf(data []byte) (int, bool) {
+	i := bytes.LastIndex(data, completionTokensKey)
 	if i < 0 {
 		return 0, false
 	}
-	rest := bytes.TrimLeft(data[i+len(completionTokens):], " \t\r\n")
+	rest := bytes.TrimLeft(data[i+len(completionTokensKey):], " \t\r\n")
 	n := 0
 	for n < len(rest) && rest[n] >= '0' && rest[n] <= '9' {
 		n++
