--- a/pkg/dispatch/attempt.go
+++ b/pkg/dispatch/attempt.go
@@ -15,7 +15,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// attempt is one request on its way through one upstream.
+// attempt is one request that is sent to one upstream.
 type attempt struct {
 	d           *Dispatcher
 	ctx         context.Context
@@ -26,8 +26,8 @@
 	gate        *gate
 	meter       meter
 	sinkBegun   bool
-	nextEvent   int64 // number of the event that must come next
-	streamBytes int64 // bytes of the stream so far
+	nextEvent   int64 // ID of the event that is expected next
+	streamBytes int64 // bytes of the stream that were relayed
 }
 
 func (a *attempt) run() Result {
@@ -37,13 +37,13 @@
 	return a.plain()
 }
 
-// maxConnTries bounds how many kept-alive connections are tried that were closed before
-// any byte of the request went out on them.
+// maxConnTries is the number of pooled connections to try if the upstream closes them before any
+// byte of the request is sent.
 const maxConnTries = 4
 
-// send sends the request and gives the answer's head, checked to be this attempt's. A
-// kept-alive connection that turns out to be closed before its first byte is no fault of
-// the upstream, and nothing has left: another connection is taken.
+// send sends the request and returns the response's header, which is checked to belong to this
+// attempt. If a pooled connection turns out to be closed before the first byte, the upstream is not
+// at fault and nothing was sent, so another connection is used.
 func (a *attempt) send(ctx context.Context) (resp *http.Response, err error) {
 	for range maxConnTries {
 		resp, err = a.roundTrip(ctx)
@@ -100,9 +100,9 @@
 	return url.Parse(text)
 }
 
-// checkEcho guards against answers of other attempts: on a connection that got out of
-// step the echoed ID is another one or missing. The connection is dropped, since all
-// that follows on it would be out of step too.
+// checkEcho guards against responses to other attempts: if requests and responses on a connection
+// are out of step, the echoed ID is a different one or missing. The connection is closed, since all
+// later responses on it would be out of step too.
 func (a *attempt) checkEcho(resp *http.Response, g *gate) (*http.Response, error) {
 	echoed := resp.Header[HeaderAttempt]
 	switch {
@@ -118,7 +118,7 @@
 	return resp, nil
 }
 
-// failedResult makes the Result of an attempt without a whole answer.
+// failedResult returns the Result of an attempt without a complete response.
 func (a *attempt) failedResult(err error) Result {
 	state := a.gate.seal()
 	if state != gateOpen {
@@ -138,11 +138,11 @@
 	}
 }
 
-// retryAfter is told to callers whose request wasn't run by an upstream: about the time
-// in which a dead upstream is taken out of its pool.
+// retryAfter is sent to callers whose request wasn't run: about the time it takes to eject a
+// crashed upstream from its pool.
 const retryAfter = time.Second
 
-// unsentResult makes the Result of an attempt of which no byte left.
+// unsentResult returns the Result of an attempt of which no byte was sent.
 func (a *attempt) unsentResult(state gateState, err error) Result {
 	r := Result{Verdict: verdict.NotRun, Outcome: wire.OutcomeUnused}
 	switch {
--- a/pkg/dispatch/body.go
+++ b/pkg/dispatch/body.go
@@ -5,13 +5,12 @@
 	"io"
 )
 
-// newUnreplayableBody makes a request body that the transport can't rewind.
+// newUnreplayableBody returns a request body that the transport can't send twice.
 //
-// When a kept-alive connection is closed by the upstream just as the request goes out,
-// net/http sends the request again by itself if it has no body, or a body with GetBody,
-// and a method or an Idempotency-Key that make it look idempotent. The upstream may have
-// run the first copy: the call would run twice behind one verdict. A body that is there
-// also when it is empty, is not http.NoBody, and comes without GetBody gives the transport
-// nothing to replay. (The gate would stop a second copy too.) Head and body still go out
-// in one write, since the transport knows this kind of reader to be in memory.
+// If the upstream closes a pooled connection just as the request is sent, net/http resends a
+// request without a body, or with a GetBody function, whose method or Idempotency-Key makes it look
+// idempotent. The upstream may have run the first copy, so that the call would run twice under one
+// verdict. A body that is set even if it is empty, isn't http.NoBody and has no GetBody can't be
+// replayed. (The gate would stop a second copy, too.) Header and body are still sent in one write,
+// since the transport knows that this kind of reader is in memory.
 func newUnreplayableBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
--- a/pkg/dispatch/cancel.go
+++ b/pkg/dispatch/cancel.go
@@ -6,9 +6,9 @@
 	"net/http/httptrace"
 )
 
-// cancel tells a model engine to stop the attempt. An engine keeps a stream going for
-// a while when only its connection breaks, to let it be resumed; without this it would
-// go on producing for a caller that is gone.
+// cancel tells a model engine to stop the attempt. If only the connection breaks, an engine
+// continues a stream for a while so that it can be resumed, and would work for a caller that has
+// left.
 func (a *attempt) cancel() {
 	if !a.call.Model {
 		return
--- a/pkg/dispatch/conn.go
+++ b/pkg/dispatch/conn.go
@@ -11,17 +11,18 @@
 
 const errDropped = errors.ConstError("the connection was dropped")
 
-// conn asks the gate of the attempt that holds it before each write.
+// conn asks the gate of the attempt that uses it before each write.
 type conn struct {
 	net.Conn
-	readFailed atomic.Bool // a read met the connection's end
+	readFailed atomic.Bool // a read returned an error
 
 	mu      sync.Mutex
 	gate    *gate
 	dropped bool
 }
 
-// Read notes the connection's end: a head cut by it is reported by net/http as malformed.
+// Read records the end of the connection, because net/http reports a header that it truncates as
+// malformed.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil {
@@ -30,7 +31,8 @@
 	return n, err
 }
 
-// Write passes p on when the gate allows; without a gate (a TLS handshake) it always does.
+// Write writes p if the gate admits it. Without a gate, as during a TLS handshake, it always
+// writes.
 func (c *conn) Write(p []byte) (int, error) {
 	g, dropped := c.state()
 	if dropped {
@@ -56,10 +58,9 @@
 	c.gate = g
 }
 
-// dropFor closes the connection if g still holds it. An answer without a body is back in
-// the pool before its head is checked: another attempt may hold the connection by now,
-// and then checks its own answer; one that takes it later meets dropped before its
-// first byte.
+// dropFor closes the connection if g is still its gate. A response without a body returns its
+// connection to the pool before its header is checked. If another attempt uses the connection by
+// then, it checks its own response; one that takes it later fails before its first byte.
 func (c *conn) dropFor(g *gate) {
 	c.mu.Lock()
 	current := c.gate == g
@@ -70,7 +71,7 @@
 	}
 }
 
-// attach puts g before the writes of the connection that the transport chose.
+// attach makes g the gate of the connection that the transport chose.
 func (g *gate) attach(info httptrace.GotConnInfo) {
 	inner := info.Conn
 	if t, ok := inner.(interface{ NetConn() net.Conn }); ok {
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -9,13 +9,13 @@
 	"github.com/flamingowind/flamingowind/pkg/sched"
 )
 
-// Dispatcher sends attempts over kept-alive connections. It may be used by many goroutines.
+// Dispatcher sends attempts over pooled connections. It is safe for concurrent use.
 type Dispatcher struct {
 	limits    Limits
 	transport *http.Transport
 }
 
-// New makes a Dispatcher.
+// New returns a Dispatcher.
 func New(l Limits) *Dispatcher {
 	return &Dispatcher{limits: l, transport: newTransport()}
 }
@@ -23,8 +23,8 @@
 // Close closes idle connections.
 func (d *Dispatcher) Close() { d.transport.CloseIdleConnections() }
 
-// Do runs call once on slot's upstream and gives the slot back. ctx ends when the
-// caller is gone. A streamed answer goes to sink as it comes; any other is in the Result.
+// Do runs call once on slot's upstream and releases the slot. ctx ends when the caller leaves. A
+// stream is written to sink as it arrives; any other response is in the Result.
 func (d *Dispatcher) Do(ctx context.Context, slot sched.Slot, call *Call, sink Sink) Result {
 	a := &attempt{d: d, ctx: ctx, slot: slot, call: call, sink: sink, id: uuid.NewString()}
 	a.gate = &gate{start: slot.Start}
--- a/pkg/dispatch/doc.go
+++ b/pkg/dispatch/doc.go
@@ -1,7 +1,7 @@
 // Package dispatch runs one attempt of a request on one upstream.
 //
-// An attempt ends with a Result whose verdict is true: NotRun only when no byte of
-// the request can have left this process, Ran only for a whole answer. A streamed
-// answer is relayed event by event, resumed when its connection breaks, and cancelled
-// at the engine when the caller is gone. Nothing here repeats a request.
+// The verdict of an attempt's Result is reliable: NotRun only if no byte of the request can have
+// left this process or the upstream said that it ran nothing, Ran only for a complete response. A
+// stream is relayed event by event, resumed if its connection breaks, and canceled at the engine if
+// the caller leaves. Requests are never retried here.
 package dispatch
--- a/pkg/dispatch/event.go
+++ b/pkg/dispatch/event.go
@@ -20,10 +20,10 @@
 
 var doneMarker = []byte("[DONE]")
 
-// maxEventID bounds an event's number, so that counting on can't overflow.
+// maxEventID bounds an event's ID, so that counting on from it can't overflow.
 const maxEventID = 1 << 40
 
-// parseEvent reads the lines of raw. An event without data (a comment) has nil data.
+// parseEvent parses the lines of raw. An event without data, such as a comment, has nil data.
 func parseEvent(raw []byte) (event, error) {
 	e := event{raw: raw}
 	for rest := raw; len(rest) > 0; {
--- a/pkg/dispatch/faults.go
+++ b/pkg/dispatch/faults.go
@@ -13,7 +13,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Faults of an attempt.
+// Errors of an attempt.
 const (
 	errConnBroken = errors.ConstError("the connection to the upstream broke")
 	errTimeout    = errors.ConstError("the upstream sent nothing for too long")
@@ -25,9 +25,9 @@
 	errRefused    = errors.ConstError("the upstream refused the request")
 )
 
-// classifyError tells why a read or a round trip failed: the caller, our own timer, the
-// connection, or an answer that isn't HTTP. ended says that the connection is known to
-// have ended before an answer's head was complete.
+// classifyError returns why a read or a round trip failed: the caller left, the attempt timed out,
+// the connection broke, or the response isn't HTTP. connEnded says that the connection ended before
+// a response's header was complete.
 func classifyError(caller, attempt context.Context, err error, connEnded bool) error {
 	switch {
 	case caller.Err() != nil:
@@ -41,19 +41,19 @@
 	}
 }
 
-// closedIdleText is the text of net/http's error, which it doesn't export, for a kept-alive
-// connection that the upstream closed under a request.
+// closedIdleText is the text of an error that net/http doesn't export: the upstream closed a pooled
+// connection while a request was sent on it.
 const closedIdleText = "server closed idle connection"
 
-// isConnError reports whether err is of the connection and not of what came over it. An
-// upstream that sends malformed HTTP lives; one whose connection breaks may be dead.
+// isConnError reports whether the connection failed, rather than the data on it. An upstream that
+// sends malformed HTTP is alive; one whose connection breaks may have crashed.
 func isConnError(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), closedIdleText)
 }
 
-// crashed reports whether the upstream may be dead, or was restarted under the request.
+// crashed reports whether the upstream may have crashed or restarted during the request.
 func crashed(err error) bool { return errors.Is(err, errConnBroken) || errors.Is(err, errStreamLost) }
 
 func outcomeOf(err error) wire.Outcome {
--- a/pkg/dispatch/gate.go
+++ b/pkg/dispatch/gate.go
@@ -15,21 +15,20 @@
 type gateState uint8
 
 const (
-	gateNew     gateState = iota // no byte can have left
-	gateOpen                     // bytes may have left
-	gateExpired                  // Start refused: no byte left
-	gateSealed                   // ended before any byte
+	gateNew     gateState = iota // no byte can have been sent
+	gateOpen                     // bytes may have been sent
+	gateExpired                  // the grant expired: no byte was sent
+	gateSealed                   // the attempt ended before any byte
 )
 
-// gate stands before each write of one attempt's connection, and so knows whether a
-// byte of the request can have left.
+// gate is asked before each write to an attempt's connection, and so knows whether a byte of the
+// request can have been sent.
 //
-// It guards against three failures. The grant lapses while a dial is under way or the
-// process is paused: start is asked within the first write, so nothing comes between
-// the check and the byte. The transport reports an error (a cancelled context) while
-// its write loop is still about to write: after seal no write passes, so a verdict
-// NotRun stays true. The transport sends the request again on a second connection: only
-// the connection of the first write passes.
+// It guards against three failures. A grant expires during a dial or while the process is paused:
+// start is called within the first write, so that nothing comes between the check and the byte. The
+// transport returns an error, as for a canceled context, while its write loop may still write:
+// after seal, no write is admitted, so that the verdict NotRun stays true. The transport resends
+// the request on a second connection: only the connection of the first write is admitted.
 type gate struct {
 	start func() bool
 
@@ -62,21 +61,21 @@
 	return nil
 }
 
-// firstWrite is the time of the first write.
+// firstWrite returns the time of the first write.
 func (g *gate) firstWrite() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.firstWriteAt
 }
 
-// connEnded reports whether the connection that carried the request has connEnded.
+// connEnded reports whether the connection that carried the request has ended.
 func (g *gate) connEnded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.conn != nil && g.conn.readFailed.Load()
 }
 
-// seal ends the attempt for writes that haven't begun and gives the final state.
+// seal prevents writes if none has begun, and returns the final state.
 func (g *gate) seal() gateState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -86,7 +85,7 @@
 	return g.state
 }
 
-// staleConn reports whether no byte has left and the connection was a kept-alive one.
+// staleConn reports whether no byte was sent and the connection was a pooled one.
 func (g *gate) staleConn() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/dispatch/header.go
+++ b/pkg/dispatch/header.go
@@ -15,14 +15,14 @@
 
 const reservedPrefix = "Flamingowind-"
 
-// hopByHop are the headers of one connection (RFC 9110, section 7.6.1), and those that
-// each side sets by itself.
+// hopByHop are the headers of one connection (RFC 9110, section 7.6.1) and those that each side
+// sets itself.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// EndToEnd copies h without the headers of the connection and without our own.
+// EndToEnd copies h without hop-by-hop headers and without the project's own headers.
 func EndToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
--- a/pkg/dispatch/limits.go
+++ b/pkg/dispatch/limits.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Limits bound what an upstream can make a router hold or wait for.
+// Limits bound what an upstream can make a router buffer or wait for.
 type Limits struct {
-	MaxAnswer int64         // bytes of an answer that isn't streamed
-	MaxStream int64         // bytes of a streamed answer
+	MaxAnswer int64         // bytes of a response that isn't streamed
+	MaxStream int64         // bytes of a stream
 	MaxEvent  int           // bytes of one server-sent event
-	Hang      time.Duration // longest time without an event of a stream
-	Answer    time.Duration // longest run of a call that isn't streamed
-	Resumes   int           // tries to resume one broken stream before giving up
-	Backoff   time.Duration // pause before the first resume; doubles with each further one
-	Cancel    time.Duration // longest time spent on cancelling at an engine
+	Hang      time.Duration // maximum wait for the next event of a stream
+	Answer    time.Duration // maximum duration of a call that isn't streamed
+	Resumes   int           // maximum attempts to resume a broken stream
+	Backoff   time.Duration // pause before the first resumption; it doubles for each further one
+	Cancel    time.Duration // timeout of canceling at an engine
 }
 
 // DefaultLimits fit model engines and plain services of ordinary size.
--- a/pkg/dispatch/meter.go
+++ b/pkg/dispatch/meter.go
@@ -7,13 +7,13 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Progress is told after this many tokens or this much time, whichever is first.
+// Progress is reported after this many tokens or this much time, whichever comes first.
 const (
 	progressTokens   = 16
 	progressInterval = 100 * time.Millisecond
 )
 
-// meter measures one streamed answer.
+// meter measures one stream.
 type meter struct {
 	slot       sched.Slot
 	onGap      func(time.Duration)
@@ -44,7 +44,7 @@
 	}
 }
 
-// tokens is the engine's own count when it gave one.
+// tokens returns the engine's own count, or else the number of events.
 func (m *meter) tokens() int {
 	if m.usage > 0 {
 		return m.usage
