--- a/pkg/dispatch/plain.go
+++ b/pkg/dispatch/plain.go
@@ -15,8 +15,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// plain runs a call whose answer is taken whole before any of it is passed on, so
-// that a broken one becomes an error answer and not a broken connection.
+// plain runs a call whose response is read whole before any of it is passed on, so that a broken
+// one becomes an error response and not a truncated one.
 func (a *attempt) plain() Result {
 	ctx, stop := context.WithCancelCause(a.ctx)
 	defer stop(nil)
@@ -29,7 +29,7 @@
 	return a.readResponse(ctx, resp)
 }
 
-// readResponse takes the rest of an readResponse that isn't streamed.
+// readResponse reads the body of a response that isn't streamed.
 func (a *attempt) readResponse(ctx context.Context, resp *http.Response) Result {
 	defer resp.Body.Close()
 	body, err := a.readBody(ctx, resp)
@@ -46,7 +46,7 @@
 	return a.completeResult(resp, body)
 }
 
-// refusedResult makes the Result of an upstream's own statement that it ran nothing.
+// refusedResult returns the Result for an upstream that said that it ran nothing.
 func (a *attempt) refusedResult() Result {
 	return Result{
 		Verdict: verdict.NotRun,
@@ -115,8 +115,9 @@
 	return body, nil
 }
 
-// confirmAlive asks, after an answer that only the connection's end has ended, whether the upstream lives.
-// A process that dies closes its connections in order, too, but takes no new one.
+// confirmAlive checks that the upstream is alive, after a response whose end only the connection's
+// close marks. The connections of a crashed process are closed in the same way, but it accepts no
+// new ones.
 func (a *attempt) confirmAlive(ctx context.Context) error {
 	target, err := a.resolve("", "")
 	if err != nil {
@@ -124,12 +125,12 @@
 	}
 	c, err := newDialer().DialContext(ctx, "tcp", hostPort(target))
 	if err != nil {
-		return errors.Annotate(err, "closed by an upstream that takes no new connection")
+		return errors.Annotate(err, "connection closed by an upstream that accepts no new connections")
 	}
 	return c.Close()
 }
 
-// hostPort is where u leads, with the port of its scheme if it names none.
+// hostPort returns the address of u, with the scheme's default port if u has none.
 func hostPort(u *url.URL) string {
 	if u.Port() != "" {
 		return u.Host
@@ -137,7 +138,7 @@
 	return net.JoinHostPort(u.Hostname(), u.Scheme)
 }
 
-// readUpTo reads size bytes, or to the end but at most limit+1 bytes when size is negative.
+// readUpTo reads size bytes, or if size is negative up to the end but at most limit+1 bytes.
 func readUpTo(r io.Reader, size, limit int64) ([]byte, error) {
 	if size < 0 {
 		return io.ReadAll(io.LimitReader(r, limit+1))
--- a/pkg/dispatch/reader.go
+++ b/pkg/dispatch/reader.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	initialBufferSize = 4 << 10  // first size of a stream's buffer
-	maxPooledBuffer   = 64 << 10 // larger buffers aren't kept for other streams
+	initialBufferSize = 4 << 10  // initial size of a stream's buffer
+	maxPooledBuffer   = 64 << 10 // larger buffers aren't reused for other streams
 )
 
 var buffers = sync.Pool{New: func() any {
@@ -22,7 +22,7 @@
 	return &b
 }}
 
-// eventReader cuts a byte stream into server-sent events, in one pooled buffer.
+// eventReader splits a byte stream into server-sent events, in one pooled buffer.
 type eventReader struct {
 	src     io.Reader
 	max     int
@@ -38,7 +38,7 @@
 	return &eventReader{src: src, max: max, pooled: p, buf: *p}
 }
 
-// release gives the buffer back; nothing returned by cut is valid afterwards.
+// release returns the buffer to the pool; events from nextBuffered are invalid afterwards.
 func (r *eventReader) release() {
 	if cap(r.buf) <= maxPooledBuffer {
 		*r.pooled = r.buf
@@ -47,8 +47,8 @@
 	r.pooled, r.buf = nil, nil
 }
 
-// nextBuffered returns the first complete event of the buffer with its blank line, nil when
-// there is none. It is valid until the next fill.
+// nextBuffered returns the first complete event in the buffer with its blank line, or nil if there
+// is none. It is valid until the next fill.
 func (r *eventReader) nextBuffered() ([]byte, error) {
 	for {
 		n, event := r.scanner.Scan(r.buf[r.start:r.end])
@@ -66,8 +66,8 @@
 	}
 }
 
-// finalEvent returns an event at the end of the stream that lacks only the LF of its finalEvent CRLF, nil when
-// there is none.
+// finalEvent returns an event at the end of the stream that lacks only the LF of its last CRLF, or
+// nil if there is none.
 func (r *eventReader) finalEvent() []byte {
 	rest := r.buf[r.start:r.end]
 	if !r.scanner.Whole(rest) {
@@ -77,8 +77,8 @@
 	return rest
 }
 
-// fill reads more, moving or growing the buffer when it is full. The source's end is
-// io.ErrUnexpectedEOF: an orderly end shows by its end marker, after which nobody reads.
+// fill reads more bytes and moves or grows the buffer if it is full. It returns io.ErrUnexpectedEOF
+// at the end of the source, because nothing is read after the end marker of a complete stream.
 func (r *eventReader) fill() error {
 	if r.full() {
 		return errTooLarge
@@ -102,8 +102,8 @@
 	return err
 }
 
-// full reports whether the buffer holds as much of an event as it may have. Whether one that lacks
-// the LF of its last CRLF has more shows with the next byte.
+// full reports whether the buffer holds as many bytes of an event as allowed. If an event lacks
+// only the LF of its last CRLF, the next byte shows whether it is longer.
 func (r *eventReader) full() bool {
 	rest := r.buf[r.start:r.end]
 	return len(rest) > r.max || len(rest) == r.max && !r.scanner.Whole(rest)
--- a/pkg/dispatch/resume.go
+++ b/pkg/dispatch/resume.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// canResume reports whether the engine can go on with this attempt: its connection
-// broke or fell silent after a byte of the request may have reached it.
+// canResume reports whether the engine can resume this attempt: its connection broke or timed out
+// after a byte of the request may have reached it.
 func (a *attempt) canResume(err error) bool {
 	if !errors.Is(err, errConnBroken) && !errors.Is(err, errTimeout) {
 		return false
@@ -18,7 +18,7 @@
 	return a.gate.seal() == gateOpen && a.call.resumes(a.slot.Upstream())
 }
 
-// resume goes on from the first event that is missing, a bounded number of times.
+// resume continues from the first missing event, a limited number of times.
 func (a *attempt) resume(err error) error {
 	pause := a.d.limits.Backoff
 	for range a.d.limits.Resumes {
@@ -45,7 +45,7 @@
 	}
 }
 
-// resumeOnce asks for the rest of the stream on a new connection and relays it.
+// resumeOnce requests the rest of the stream on a new connection and relays it.
 func (a *attempt) resumeOnce() error {
 	s := a.newSource()
 	defer s.close()
--- a/pkg/dispatch/sink.go
+++ b/pkg/dispatch/sink.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Sink takes a streamed answer on its way to the caller.
+// Sink writes a stream to the caller.
 type Sink interface {
 	// Begin is called once, before the first Write.
 	Begin(status int, header http.Header)
--- a/pkg/dispatch/source.go
+++ b/pkg/dispatch/source.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// source is one connection's part of a streamed answer.
+// source is the part of a stream that one connection carries.
 type source struct {
 	caller  context.Context
 	ctx     context.Context
@@ -32,8 +32,8 @@
 	s.events = newEventReader(resp.Body, maxEvent)
 }
 
-// next gives the next event. The hang timer runs only while the upstream is waited
-// for: a caller that reads slowly must not make its upstream look hung.
+// next returns the next event. The timer runs only while waiting for the upstream: a caller that
+// reads slowly must not make its upstream look hung.
 func (s *source) next() (event, error) {
 	raw, err := s.events.nextBuffered()
 	for raw == nil && err == nil {
@@ -50,7 +50,8 @@
 	return parseEvent(raw)
 }
 
-// handleEnd gives what is left when the source handleEnd with err; nil for no end.
+// handleEnd returns what is left if the source ended with err; a nil err means that it hasn't
+// ended.
 func (s *source) handleEnd(err error) ([]byte, error) {
 	if err == nil || errors.Is(err, errTooLarge) {
 		return nil, err
@@ -64,8 +65,8 @@
 // drainTimeout bounds the wait for the end of a body after its end marker.
 const drainTimeout = 50 * time.Millisecond
 
-// drain reads the body's end after the end marker, so that the connection can be used
-// again. Anything more than the end closes the connection.
+// drain reads the end of the body after the end marker, so that the connection can be reused. If
+// more than the end follows, the connection is closed.
 func (s *source) drain() {
 	if s.events.start != s.events.end {
 		return
--- a/pkg/dispatch/stream.go
+++ b/pkg/dispatch/stream.go
@@ -13,7 +13,7 @@
 
 const eventStream = "text/event-stream"
 
-// stream relays a streamed answer, over as many connections as it takes.
+// stream relays a stream, over as many connections as it takes.
 func (a *attempt) stream() Result {
 	s := a.newSource()
 	resp, err := a.send(s.ctx)
@@ -40,7 +40,7 @@
 	return resp.StatusCode == http.StatusOK && strings.TrimSpace(mediaType) == eventStream
 }
 
-// nonStreamResponse takes an error answer to a request for a stream.
+// nonStreamResponse handles an error response to a request for a stream.
 func (a *attempt) nonStreamResponse(s *source, resp *http.Response) Result {
 	if resp.StatusCode < http.StatusBadRequest {
 		a.gate.dropConn()
@@ -50,7 +50,7 @@
 	return a.readResponse(s.ctx, resp)
 }
 
-// relay passes events on until the end marker.
+// relay forwards events up to the end marker.
 func (a *attempt) relay(s *source) error {
 	for {
 		e, err := s.next()
@@ -74,9 +74,9 @@
 	}
 }
 
-// checkOrder guards against a resumed stream that repeats or skips events, which would
-// show as doubled or missing text: only the event with the next number passes, one
-// that has passed already is dropped, and a gap ends this connection.
+// checkOrder guards against a resumed stream that repeats or skips events, which would show as
+// duplicated or missing text. It accepts only the event with the expected ID, drops earlier ones,
+// and returns an error for a gap.
 func (a *attempt) checkOrder(e event) (bool, error) {
 	switch {
 	case e.data == nil:
