--- a/pkg/admission/batch.go
+++ b/pkg/admission/batch.go
@@ -1,35 +1,36 @@
 package admission
 
-// measuredAtOnce is how many refusals are made before the processor time that they took is read.
-const measuredAtOnce = 16
+// refusalsPerMeasurement is the number of refusals between two readings of the CPU clocks.
+const refusalsPerMeasurement = 16
 
-// batch is refusals that one goroutine makes one after the other.
-type batch struct {
+// refusalBatch is a series of refusals made by one goroutine.
+type refusalBatch struct {
 	refuser *refuser
-	began   reading
-	// n have been made since began.
+	began   cpuTimes
+	// n is the number of refusals since began.
 	n int
-	// mixed is whether other work came between them, so that their time isn't known.
-	mixed bool
+	// hasOtherWork is set when the goroutine did other work in between, so that the refusals' CPU
+	// time isn't known.
+	hasOtherWork bool
 }
 
-func (r *refuser) startBatch() batch { return batch{refuser: r, began: r.begin()} }
+func (r *refuser) startBatch() refusalBatch { return refusalBatch{refuser: r, began: r.startTiming()} }
 
-// refuse turns a connection away, see refuser.refuse.
-func (b *batch) refuse(one refused) bool {
-	if !b.refuser.refuse(one) {
+// refuse refuses a connection, see refuser.refuse.
+func (b *refusalBatch) refuse(conn refusedConn) bool {
+	if !b.refuser.refuse(conn) {
 		return false
 	}
-	if b.n++; b.n == measuredAtOnce {
+	if b.n++; b.n == refusalsPerMeasurement {
 		b.end()
-		b.began, b.n = b.refuser.begin(), 0
+		b.began, b.n = b.refuser.startTiming(), 0
 	}
 	return true
 }
 
-// end takes the refusals since the last measurement into the mean.
-func (b *batch) end() {
-	if !b.mixed {
+// end adds the refusals since the last measurement to the mean.
+func (b *refusalBatch) end() {
+	if !b.hasOtherWork {
 		b.refuser.measure(b.n, b.began)
 	}
 }
--- a/pkg/admission/caller_test.go
+++ b/pkg/admission/caller_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// answered sends a request on a connection of its own and gives the answer's status; 0 when the
-// connection was closed without one. connected is called once it is open, nil for nobody.
-func answered(t *testing.T, addr string, connected func()) int {
+// requestStatus sends a request on a new connection and returns the status of the answer; 0 when
+// the connection was closed without one. connected, if not nil, is called once the connection is
+// open.
+func requestStatus(t *testing.T, addr string, connected func()) int {
 	c, err := net.Dial("tcp", addr)
 	if connected != nil {
 		connected()
@@ -22,7 +23,7 @@
 	}
 	defer c.Close()
 	if _, err := c.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")); err != nil {
-		return 0 // it was closed already
+		return 0 // already closed by the listener
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return resp.StatusCode
 }
 
-// manualClock stands still until it is moved.
+// manualClock stands still until it is advanced.
 type manualClock struct {
 	mu sync.Mutex
 	at time.Time
@@ -43,16 +44,16 @@
 	return c.at
 }
 
-func (c *manualClock) pass(d time.Duration) {
+func (c *manualClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.at = c.at.Add(d)
 }
 
-// passing gives a clock on which d passes with each look.
-func (c *manualClock) passing(d time.Duration) func() time.Time {
+// advancingBy returns a clock that advances by d on each call.
+func (c *manualClock) advancingBy(d time.Duration) func() time.Time {
 	return func() time.Time {
-		c.pass(d)
+		c.advance(d)
 		return c.now()
 	}
 }
--- a/pkg/admission/close_test.go
+++ b/pkg/admission/close_test.go
@@ -12,11 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// patience is how long a call may take that must not wait.
-const patience = 3 * time.Second
+// callTimeout bounds calls that must not block.
+const callTimeout = 3 * time.Second
 
-// unserved gives a listener that nobody accepts from yet, on a host with that many cores.
-func unserved(t *testing.T, cores float64) *Listener {
+// newTestListener returns a listener that nobody accepts from yet, on a host with the given number
+// of cores.
+func newTestListener(t *testing.T, cores float64) *Listener {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l, err := New(tcp.(*net.TCPListener), cores, func(time.Duration) []byte { return []byte(refusal) })
@@ -32,17 +33,17 @@
 	return c
 }
 
-// accepted gives a connection that was let in at since.
-func accepted(t *testing.T, l *Listener, since time.Time) *Conn {
+// acceptAdmittedAt returns an admitted connection with the given admission time.
+func acceptAdmittedAt(t *testing.T, l *Listener, admittedAt time.Time) *Conn {
 	dial(t, l)
 	c, err := l.Accept()
 	require.NoError(t, err)
-	c.(*Conn).ticket.since = since
+	c.(*Conn).waiter.admittedAt = admittedAt
 	return c.(*Conn)
 }
 
-// turnedAway is how many connections were refused or closed.
-func turnedAway(l *Listener) int64 {
+// shedCount returns how many connections were refused or closed.
+func shedCount(l *Listener) int64 {
 	refused, closed := l.TurnedAway()
 	return refused + closed
 }
@@ -53,19 +54,18 @@
 	go func() { defer close(done); f() }()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal(what, "never returns")
+	case <-time.After(callTimeout):
+		t.Fatal(what, "does not return")
 	}
 }
 
-// A router that is asked for too much is ended: it drains, closes its listeners and says
-// "router closes its connections", but the process stays until it is killed. Accept turned a
-// connection away after the refuser was closed, and closing a connection within Control waits
-// for that very Control to end.
-func TestServerEndsWhileItTurnsConnectionsAway(t *testing.T) {
+// Guards against a router that hangs on shutdown while it is overloaded: it drains and closes its
+// listeners, but the process never ends. Accept shed a connection after the refuser was closed, and
+// closing a connection within Control waits for that very Control to end.
+func TestServeReturnsWhileConnectionsAreShed(t *testing.T) {
 	for range 100 {
-		l := unserved(t, 0)
-		jam(l)
+		l := newTestListener(t, 0)
+		addStaleWaiter(l)
 		s := &http.Server{Handler: http.NotFoundHandler()}
 		var served, callers sync.WaitGroup
 		served.Go(func() { _ = s.Serve(l) })
@@ -79,7 +79,7 @@
 				}
 			})
 		}
-		for turnedAway(l) == 0 {
+		for shedCount(l) == 0 {
 			runtime.Gosched()
 		}
 		go s.Close()
@@ -89,47 +89,45 @@
 	}
 }
 
-// The same for a connection that was let in and whose turn comes too late, after the close.
-func TestTurnAfterTheListenerClosed(t *testing.T) {
-	l := unserved(t, 0)
-	c := accepted(t, l, time.Now().Add(-2*tooLate))
+// Guards against the same hang for an admitted connection that gets its read slot too late and
+// after the listener was closed.
+func TestReadSlotGrantedAfterListenerClosed(t *testing.T) {
+	l := newTestListener(t, 0)
+	c := acceptAdmittedAt(t, l, time.Now().Add(-2*maxReadWait))
 	require.NoError(t, l.Close())
 	requireReturns(t, "Read", func() { _, _ = c.Read(make([]byte, 1)) })
 }
 
-// A connection that waits for its turn is closed. Its turn never comes, so its reader would
-// wait for ever.
-func TestCloseEndsTheWaitForATurn(t *testing.T) {
-	l := unserved(t, 0)
+// Guards against a reader that waits forever for the read slot of a connection that was closed.
+func TestCloseEndsTheWaitForAReadSlot(t *testing.T) {
+	l := newTestListener(t, 0)
 	defer l.Close()
-	c := accepted(t, l, time.Now())
-	l.queue.held = l.queue.turns
+	c := acceptAdmittedAt(t, l, time.Now())
+	l.queue.slotsInUse = l.queue.slots
 	time.AfterFunc(50*time.Millisecond, func() { c.Close() })
 	requireReturns(t, "Read", func() { _, _ = c.Read(make([]byte, 1)) })
 }
 
-// A connection is closed by the server in the moment in which its reader turns it away. Closed
-// by both, its descriptor is somebody else's when the refuser reads and answers on it. The
-// race detector shows it.
-func TestCloseBesideTheTurningAway(t *testing.T) {
-	l := unserved(t, 0)
+// Guards against a connection that both the server and the refuser close: its descriptor may belong
+// to another connection by the time the refuser uses it. The race detector reports it.
+func TestCloseWhileConnectionIsShed(t *testing.T) {
+	l := newTestListener(t, 0)
 	defer l.Close()
 	for range 200 {
-		c := accepted(t, l, time.Now().Add(-2*tooLate))
+		c := acceptAdmittedAt(t, l, time.Now().Add(-2*maxReadWait))
 		go c.Close()
 		_, _ = c.Read(make([]byte, 1))
 	}
 }
 
-// A router was short of processor for a while and is idle since. The next callers that come
-// together, a few more than a round, are refused though nothing else is to be done: a round
-// counts as slow until the next one ends.
-func TestBurstOnAHostThatIsCalmAgain(t *testing.T) {
-	l := unserved(t, 0)
+// Guards against an idle host that refuses part of a burst because of an earlier overload: a round
+// would otherwise count as slow until the next one ends.
+func TestBurstAfterOverloadIsAdmitted(t *testing.T) {
+	l := newTestListener(t, 0)
 	clock := &manualClock{at: start}
-	l.rounds.next(longRound+time.Millisecond, start)
-	l.rounds.next(longRound+time.Millisecond, start) // an overload, not just a stall
-	l.now = clock.passing(10 * idleAccept)
+	l.rounds.startNext(slowRound+time.Millisecond, start)
+	l.rounds.startNext(slowRound+time.Millisecond, start) // the second slow round means overload
+	l.now = clock.advancingBy(10 * minIdleAccept)
 	for range 5 {
 		dial(t, l)
 		c, err := l.Accept()
@@ -141,26 +139,26 @@
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
 	var callers sync.WaitGroup
-	for range 4 * firstRound {
-		callers.Go(func() { answered(t, l.Addr().String(), nil) })
+	for range 4 * initialRoundSize {
+		callers.Go(func() { requestStatus(t, l.Addr().String(), nil) })
 	}
 	callers.Wait()
-	require.Zero(t, turnedAway(l))
+	require.Zero(t, shedCount(l))
 }
 
-// Callers connect one after the other to a router that is jammed. Each is accepted and left to
-// the refuser whatever it bears, so thousands of sockets take the process's descriptors.
-func TestRefuserHoldsNoMoreThanItBears(t *testing.T) {
-	l := unserved(t, 0.2)
+// Guards against an overloaded router that uses up the process's descriptors by keeping thousands
+// of connections for the refuser.
+func TestPendingRefusalsAreBounded(t *testing.T) {
+	l := newTestListener(t, 0.2)
 	defer l.Close()
-	jam(l)
+	addStaleWaiter(l)
 	go l.Accept()
 	most := 0
-	for range 2 * mostRefused {
+	for range 2 * maxPendingRefusals {
 		dial(t, l)
 		l.refuser.mu.Lock()
-		most = max(most, len(l.refuser.list))
+		most = max(most, len(l.refuser.pending))
 		l.refuser.mu.Unlock()
 	}
-	require.LessOrEqual(t, most, mostRefused)
+	require.LessOrEqual(t, most, maxPendingRefusals)
 }
--- a/pkg/admission/conn.go
+++ b/pkg/admission/conn.go
@@ -9,43 +9,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a connection that was let in. It stays a *net.TCPConn for those who look at its
-// socket.
+// Conn is an admitted connection. It embeds *net.TCPConn for callers that inspect the socket.
 type Conn struct {
 	*net.TCPConn
-	listener *Listener
-	ticket   *ticket
-	entry    sync.Once
-	// owner is who may use the socket and closes it. It passes once: a descriptor that both
-	// sides closed would be another caller's when one of them uses it again.
+	listener  *Listener
+	waiter    *waiter
+	firstRead sync.Once
+	// owner is the side that may use the socket and must close it. Ownership passes once: if both
+	// sides closed the descriptor, the second close could hit a descriptor that another connection
+	// reuses.
 	owner atomic.Int32
 }
 
 // Owners of a connection's socket.
 const (
-	ofServer int32 = iota
-	ofRefuser
-	ofNobody // closed
+	ownedByServer int32 = iota
+	ownedByRefuser
+	ownedByNone // closed
 )
 
-// Read reads from the connection; the first time it waits for its turn.
+// Read reads from the connection. The first call waits for a read slot.
 func (c *Conn) Read(b []byte) (int, error) {
 	first := false
-	c.entry.Do(func() {
+	c.firstRead.Do(func() {
 		first = true
-		c.enter()
+		c.awaitReadSlot()
 	})
-	if c.owner.Load() == ofRefuser {
-		// Guard: after any other error the server answers that the request is faulty.
+	if c.owner.Load() == ownedByRefuser {
+		// On any other error the server answers that the request is malformed.
 		return 0, io.EOF
 	}
 	if first {
-		if n := c.readNow(b); n > 0 {
+		if n := c.readAvailable(b); n > 0 {
 			return n, nil
 		}
 	}
-	// Guard: a connection that was opened ahead of its request would keep its turn for as
-	// long as it is idle, and a few of them would keep everybody out.
+	// A connection that is opened before its request would hold its slot for as long as it is idle,
+	// and a few of them would block all others.
 	c.Leave()
 	n, err := c.TCPConn.Read(b)
 	c.listener.meter.Received(n)
@@ -59,29 +59,29 @@
 	return n, err
 }
 
-// enter waits for the connection's turn, and turns it away when that came too late.
-func (c *Conn) enter() {
-	c.listener.queue.enter(c.ticket, c.listener.now())
-	<-c.ticket.called
+// awaitReadSlot waits for a read slot, and sheds the connection when that took too long.
+func (c *Conn) awaitReadSlot() {
+	c.listener.queue.request(c.waiter, c.listener.now())
+	<-c.waiter.granted
 	now := c.listener.now()
-	if now.Sub(c.ticket.since) <= tooLate {
+	if now.Sub(c.waiter.admittedAt) <= maxReadWait {
 		return
 	}
 	c.Leave()
-	if c.owner.CompareAndSwap(ofServer, ofRefuser) {
-		c.listener.turnAway(c.TCPConn, now)
+	if c.owner.CompareAndSwap(ownedByServer, ownedByRefuser) {
+		c.listener.shed(c.TCPConn, now)
 	}
 }
 
-// readNow reads what has come without waiting; 0 when that is nothing.
-func (c *Conn) readNow(b []byte) int {
+// readAvailable reads without blocking what has arrived; it returns 0 when there is nothing.
+func (c *Conn) readAvailable(b []byte) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return 0 // closed; the next read tells it
+		return 0 // closed; the next read reports it
 	}
 	n := 0
 	err = raw.Read(func(fd uintptr) bool {
-		n, _ = unix.Read(int(fd), b) // an error is met again by the next read
+		n, _ = unix.Read(int(fd), b) // the next read reports an error again
 		return true
 	})
 	if err != nil {
@@ -91,13 +91,13 @@
 	return max(n, 0)
 }
 
-// Leave ends the connection's turn: its request is read.
-func (c *Conn) Leave() { c.listener.queue.leave(c.ticket, c.listener.now()) }
+// ReleaseReadSlot releases the connection's read slot once its request is read.
+func (c *Conn) Leave() { c.listener.queue.release(c.waiter, c.listener.now()) }
 
-// Close closes the connection, unless it is left to the refuser.
+// Close closes the connection, unless the refuser owns it.
 func (c *Conn) Close() error {
 	c.Leave()
-	if !c.owner.CompareAndSwap(ofServer, ofNobody) && c.owner.Load() == ofRefuser {
+	if !c.owner.CompareAndSwap(ownedByServer, ownedByNone) && c.owner.Load() == ownedByRefuser {
 		return nil
 	}
 	return c.TCPConn.Close()
--- a/pkg/admission/doc.go
+++ b/pkg/admission/doc.go
@@ -1,14 +1,14 @@
-// Package admission lets callers' connections in as fast as the process comes to read them,
-// and turns the others away at once: with a refusal that says when to come back, and beyond
-// what the processor bears of those by closing them.
+// Package admission accepts callers' connections at the rate at which the process can read them,
+// and sheds the others at once: it refuses them with an answer that says when to retry, and closes
+// them without an answer when even refusals would take too much CPU.
 //
-// Guard: a server that accepts each connection at once and serves them in the scheduler's
-// order answers nobody once it is asked for more than its processor can do: what it reads has
-// waited so long that its caller is about to leave, and the work is done for nothing. It shows
-// as a router that is busy all the time with thousands of open connections and hardly an
-// answer. A bounded wait keeps what is read fresh, and a connection that is turned away
+// A server that accepts every connection at once and serves them in the scheduler's order stops
+// answering once the load exceeds its CPU: each request waits until its caller is about to give up,
+// so the work is wasted. The symptom is a router at full CPU with thousands of open connections and
+// hardly any answers. A bounded wait keeps the admitted requests fresh, and shedding a connection
 // unread costs a small part of a request.
 //
-// Connections are let in by rounds: some are accepted, the others get the processor, and how
-// long they have it decides how many are let in next. Those let in are read a few at a time.
+// Connections are admitted in rounds: the listener accepts some, then yields the CPU to the other
+// goroutines, and the time until it runs again determines the size of the next round. Admitted
+// connections are read in a limited number of read slots.
 package admission
--- a/pkg/admission/link.go
+++ b/pkg/admission/link.go
@@ -8,106 +8,109 @@
 )
 
 const (
-	// callersShare is the part of a link from which on nobody new is let in, keptShare that from
-	// which on connections are not kept. The rest is for upstreams, peers and the store.
-	callersShare = 0.5
-	keptShare    = 0.4
-	// linkWindow is the time constant of the mean speed, linkLook the least time between two looks
-	// at it, and linkPause the pause until the next look while nobody is let in.
-	linkWindow = 200 * time.Millisecond
-	linkLook   = 20 * time.Millisecond
-	linkPause  = 5 * time.Millisecond
-	// longestHold is how long nobody is let in at most.
-	longestHold = 500 * time.Millisecond
-	// firstFlight is what a caller sends before it is answered, and unreadFor the time in which the
-	// link carries what may wait unread.
-	firstFlight = 16 << 10
-	unreadFor   = 250 * time.Millisecond
-	// leastBacklog and mostBacklog bound the connections that wait to be accepted.
-	leastBacklog = 16
-	mostBacklog  = 4096
-	// bytesPerMegabit turns the speed of a link into bytes.
+	// fullShare is the share of the link from which on no connection is admitted, busyShare that
+	// from which on connections are not kept alive. The rest is for upstreams, peers and the store.
+	fullShare = 0.5
+	busyShare = 0.4
+	// rateWindow is the time constant of the mean rate, minSampleInterval the minimum time between
+	// two samples of it, and linkPollInterval the interval of checks while admission is paused.
+	rateWindow        = 200 * time.Millisecond
+	minSampleInterval = 20 * time.Millisecond
+	linkPollInterval  = 5 * time.Millisecond
+	// maxAdmissionPause is the longest pause of admission.
+	maxAdmissionPause = 500 * time.Millisecond
+	// firstFlight is what a caller sends before it gets an answer. maxUnreadTime bounds unread data
+	// in the backlog, as the time in which the link carries it.
+	firstFlight   = 16 << 10
+	maxUnreadTime = 250 * time.Millisecond
+	// minBacklog and maxBacklog bound the connections that wait to be accepted.
+	minBacklog = 16
+	maxBacklog = 4096
+	// bytesPerMegabit converts a link speed into bytes per second.
 	bytesPerMegabit = 1e6 / 8
 )
 
-// Backlog is how many connections may wait to be accepted on a host with a link of so many
-// megabits a second; 0 where that isn't known.
+// Backlog returns the number of connections that may wait to be accepted on a host with a link of
+// the given speed in megabits per second; 0 means unknown.
 //
-// Guard: a caller sends its request as soon as the kernel has taken its connection. With thousands
-// of them the link is full for seconds of what nobody reads in time, and neither peers nor the
-// store come through. One that isn't taken costs a packet, and its caller goes elsewhere.
+// A caller sends its request as soon as the kernel has completed the connection. With thousands of
+// them the link is full for seconds of data that nobody reads in time, and traffic of peers and the
+// store doesn't get through. A connection that isn't completed costs a packet, and its caller tries
+// elsewhere.
 func Backlog(megabits float64) int {
 	if megabits <= 0 {
-		return mostBacklog
+		return maxBacklog
 	}
-	unread := megabits * bytesPerMegabit * unreadFor.Seconds()
-	return max(leastBacklog, min(mostBacklog, int(unread/firstFlight)))
+	unread := megabits * bytesPerMegabit * maxUnreadTime.Seconds()
+	return max(minBacklog, min(maxBacklog, int(unread/firstFlight)))
 }
 
-// Link watches over the part of a host's link that callers' bytes take. A nil link is never full.
+// Link measures how much of a host's link callers use. A nil link is never full.
 type Link struct {
-	// speed is that of the link, in bytes a second.
-	speed float64
-	// received counts the bytes that came from callers.
+	// capacity is the link's speed in bytes per second.
+	capacity float64
+	// received returns the bytes received from callers so far.
 	received func() int64
-	// held is how long nobody was let in, in nanoseconds.
-	held atomic.Int64
+	// paused is how long admission was paused, in nanoseconds.
+	paused atomic.Int64
 
-	mu   sync.Mutex
-	seen int64
-	at   time.Time
-	rate float64
+	mu           sync.Mutex
+	lastReceived int64
+	sampledAt    time.Time
+	rate         float64
 }
 
-// NewLink returns the link of a host, of so many megabits a second; nil where that isn't known.
+// NewLink returns the link of a host with the given speed in megabits per second; nil when that
+// isn't known.
 func NewLink(megabits float64, received func() int64) *Link {
 	if megabits <= 0 {
 		return nil
 	}
-	return &Link{speed: megabits * bytesPerMegabit, received: received}
+	return &Link{capacity: megabits * bytesPerMegabit, received: received}
 }
 
-// Full reports whether callers take more than their part, so that nobody new should be let in.
-func (l *Link) Full(now time.Time) bool { return l != nil && l.share(now) > callersShare }
+// Full reports whether callers use so much of the link that no connection should be admitted.
+func (l *Link) Full(now time.Time) bool { return l != nil && l.utilisation(now) > fullShare }
 
-// Busy reports whether callers take so much that their connections should not be kept.
-func (l *Link) Busy(now time.Time) bool { return l != nil && l.share(now) > keptShare }
+// Busy reports whether callers use so much of the link that connections should not be kept alive.
+func (l *Link) Busy(now time.Time) bool { return l != nil && l.utilisation(now) > busyShare }
 
-// Held is how long nobody was let in so far, as the link was full.
+// PauseTime returns how long admission was paused so far because the link was full.
 func (l *Link) Held() time.Duration {
 	if l == nil {
 		return 0
 	}
-	return time.Duration(l.held.Load())
+	return time.Duration(l.paused.Load())
 }
 
-// share is the part of the link that callers' bytes take.
-func (l *Link) share(now time.Time) float64 {
+// utilisation returns the share of the link that callers use.
+func (l *Link) utilisation(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	passed := now.Sub(l.at)
-	if passed < linkLook {
-		return l.rate / l.speed
+	passed := now.Sub(l.sampledAt)
+	if passed < minSampleInterval {
+		return l.rate / l.capacity
 	}
 	received := l.received()
-	if !l.at.IsZero() {
-		kept := math.Exp(-passed.Seconds() / linkWindow.Seconds())
-		l.rate = l.rate*kept + (1-kept)*float64(received-l.seen)/passed.Seconds()
+	if !l.sampledAt.IsZero() {
+		kept := math.Exp(-passed.Seconds() / rateWindow.Seconds())
+		l.rate = l.rate*kept + (1-kept)*float64(received-l.lastReceived)/passed.Seconds()
 	}
-	l.seen, l.at = received, now
-	return l.rate / l.speed
+	l.lastReceived, l.sampledAt = received, now
+	return l.rate / l.capacity
 }
 
-// await waits until the link has room for callers, or ended says that nobody waits for it any more.
+// waitForCapacity waits until the link is no longer full, or stop reports that nobody needs the
+// result any more.
 //
-// Guard: a few callers on connections that were let in may fill the link for long. Somebody new is
-// let in now and then all the same, as others would take the router for lost.
-func (l *Link) await(now func() time.Time, ended func() bool) {
-	for held := time.Duration(0); held < longestHold && !ended() && l.Full(now()); held += linkPause {
-		time.Sleep(linkPause)
-		l.held.Add(int64(linkPause))
+// A few callers on admitted connections may fill the link for long. Some new connections are
+// admitted all the same, as callers would otherwise take the router for dead.
+func (l *Link) waitForCapacity(now func() time.Time, stop func() bool) {
+	for paused := time.Duration(0); paused < maxAdmissionPause && !stop() && l.Full(now()); paused += linkPollInterval {
+		time.Sleep(linkPollInterval)
+		l.paused.Add(int64(linkPollInterval))
 	}
 }
 
-// Over lets nobody in while callers fill the link. It must be called before Accept.
+// SetLink pauses admission while the link is full. It must be called before Accept.
 func (l *Listener) Over(link *Link) { l.link = link }
--- a/pkg/admission/listener_test.go
+++ b/pkg/admission/listener_test.go
@@ -14,7 +14,7 @@
 
 const refusal = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nConnection: close\r\nRetry-After: 0.4\r\n\r\nno"
 
-// serve runs a server on a listener; its connections leave their turn as their request is
+// serve runs a server on a new listener. Connections release their read slot once their request is
 // read.
 func serve(t *testing.T, h http.HandlerFunc) (*Listener, string) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return l, l.Addr().String()
 }
 
-// serveOn has a server serve l's connections.
+// serveOn serves l's connections with h.
 func serveOn(t *testing.T, l *Listener, h http.HandlerFunc) {
 	s := &http.Server{Handler: h, ConnState: func(c net.Conn, state http.ConnState) {
 		if state == http.StateActive {
@@ -36,20 +36,20 @@
 	t.Cleanup(func() { s.Close() })
 }
 
-// firstEntered is the oldest ticket that waits for its turn; nil for none.
-func (q *queue) firstEntered() *ticket {
+// firstRequested returns the oldest waiter that has requested a slot; nil for none.
+func (q *queue) firstRequested() *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for e := q.waiting.Front(); e != nil; e = e.Next() {
-		if one := e.Value.(*ticket); one.entered {
+		if one := e.Value.(*waiter); one.requested {
 			return one
 		}
 	}
 	return nil
 }
 
-// jam makes the queue look as if a connection waited for a second.
-func jam(l *Listener) *ticket { return l.queue.admit(time.Now().Add(-time.Second)) }
+// addStaleWaiter adds a waiter to the queue that seems to have waited for a second.
+func addStaleWaiter(l *Listener) *waiter { return l.queue.admit(time.Now().Add(-time.Second)) }
 
 func get(t *testing.T, addr string) *http.Response {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -59,7 +59,7 @@
 	return resp
 }
 
-func TestCalmListenerLetsIn(t *testing.T) {
+func TestIdleListenerAdmits(t *testing.T) {
 	l, addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	for range 20 {
 		require.Equal(t, http.StatusNoContent, get(t, addr).StatusCode)
@@ -68,11 +68,11 @@
 	require.Zero(t, refused+closed)
 }
 
-// While connections wait too long, new ones are told at once when to come back, in an answer
-// that a usual client takes for one; once nobody waits, they are let in again.
-func TestJammedListenerTurnsAway(t *testing.T) {
+// While connections wait too long, new ones are refused at once with a Retry-After, in an answer
+// that a standard client accepts. Once none waits, they are admitted again.
+func TestOverloadedListenerSheds(t *testing.T) {
 	l, addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	waiting := jam(l)
+	waiting := addStaleWaiter(l)
 	for range 20 {
 		resp := get(t, addr)
 		require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
@@ -84,16 +84,16 @@
 	refused, closed := l.TurnedAway()
 	require.EqualValues(t, 20, refused)
 	require.Zero(t, closed)
-	l.queue.leave(waiting, time.Now())
+	l.queue.release(waiting, time.Now())
 	require.Equal(t, http.StatusNoContent, get(t, addr).StatusCode)
 }
 
-// A client opens connections ahead of its requests and leaves them idle. They must not keep
-// the turns of those that have something to say, nor be answered before they asked.
-func TestIdleConnectionsKeepNobodyOut(t *testing.T) {
+// Guards against idle connections, opened by clients ahead of their requests, that hold read slots
+// or are answered before they send a request.
+func TestIdleConnectionsHoldNoReadSlots(t *testing.T) {
 	_, addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	var idle []net.Conn
-	for range 10 * turnsPerThread * 16 {
+	for range 10 * readSlotsPerThread * 16 {
 		c, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
 		defer c.Close()
@@ -107,41 +107,41 @@
 	require.Equal(t, http.StatusNoContent, resp.StatusCode)
 }
 
-// One that was let in and got its turn too late is turned away as if it had just come, and
-// not told that its request is faulty.
-func TestLateTurnIsARefusal(t *testing.T) {
-	l := unserved(t, 0)
+// Guards against an admitted connection that gets its slot too late and is answered that its
+// request is malformed. It must be refused like a new one.
+func TestLateReadSlotIsRefused(t *testing.T) {
+	l := newTestListener(t, 0)
 	clock := &manualClock{at: start}
 	l.now = clock.now
-	l.queue.held = l.queue.turns
+	l.queue.slotsInUse = l.queue.slots
 	serveOn(t, l, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	status := make(chan int)
-	go func() { status <- answered(t, l.Addr().String(), nil) }()
-	for l.queue.firstEntered() == nil {
+	go func() { status <- requestStatus(t, l.Addr().String(), nil) }()
+	for l.queue.firstRequested() == nil {
 		runtime.Gosched()
 	}
-	clock.pass(tooLate + time.Millisecond)
+	clock.advance(maxReadWait + time.Millisecond)
 	l.queue.mu.Lock()
-	l.queue.held = 0
-	l.queue.call(clock.now())
+	l.queue.slotsInUse = 0
+	l.queue.grantSlots(clock.now())
 	l.queue.mu.Unlock()
 	require.Equal(t, http.StatusServiceUnavailable, <-status)
 }
 
-// A router ends while connections wait for their turn. Their goroutines must end with it.
-func TestClosedConnectionsWaitForNoTurn(t *testing.T) {
+// Guards against goroutines that wait for a read slot after their connection was closed.
+func TestReleaseEndsTheWaitForAReadSlot(t *testing.T) {
 	l, addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	l.queue.mu.Lock()
-	l.queue.held = l.queue.turns
+	l.queue.slotsInUse = l.queue.slots
 	l.queue.mu.Unlock()
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
-	let, err := net.Dial("tcp", addr)
+	second, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
-	defer let.Close()
-	require.Eventually(t, func() bool { return l.queue.firstEntered() != nil }, time.Second, time.Millisecond)
-	one := l.queue.firstEntered()
-	l.queue.leave(one, time.Now())
-	<-one.called
+	defer second.Close()
+	require.Eventually(t, func() bool { return l.queue.firstRequested() != nil }, time.Second, time.Millisecond)
+	one := l.queue.firstRequested()
+	l.queue.release(one, time.Now())
+	<-one.granted
 }
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -7,142 +7,142 @@
 )
 
 const (
-	// firstTurn is the time that a connection is taken to need of the process before any was
-	// seen: that of a request on a host with a fifth of a core.
-	firstTurn = time.Millisecond
-	// youngQueue is the time for which a queue may be long without being slow: a burst that
-	// comes to a host with processor to spare is read within it.
-	youngQueue = 20 * time.Millisecond
-	// turnWeight is the part of a new measurement in the mean.
-	turnWeight = 1.0 / 16
-	// longestTurn bounds one measurement, in turns: a process that stood still for a while,
-	// as a quota makes it, isn't slow afterwards.
-	longestTurn = 10
-	// turnsToJudge is how many turns must have been measured before their mean says how long
-	// those that wait will: as many as it takes to follow what is measured.
-	turnsToJudge = int(1 / turnWeight)
-	// leastTurn is a turn's time at least, as measured on a host with all its processor.
-	leastTurn = 20 * time.Microsecond
+	// initialGrantInterval is the assumed time per connection until one was measured: that of a
+	// request on a host with a fifth of a core.
+	initialGrantInterval = time.Millisecond
+	// burstTolerance is the time for which a queue may be long without being slow: a host with idle
+	// CPU reads a burst within it.
+	burstTolerance = 20 * time.Millisecond
+	// grantIntervalWeight is the weight of a new sample in the moving average.
+	grantIntervalWeight = 1.0 / 16
+	// maxIntervalFactor bounds a sample, as a multiple of the mean: a process that was stalled for
+	// a while, as by a CPU quota, isn't slow afterwards.
+	maxIntervalFactor = 10
+	// minIntervalSamples is the number of samples before the mean is used to estimate waits: as
+	// many as the moving average covers.
+	minIntervalSamples = int(1 / grantIntervalWeight)
+	// minGrantInterval is the lower bound of the mean, as measured on a host with a whole core.
+	minGrantInterval = 20 * time.Microsecond
 )
 
-// queue gives accepted connections their turns to be read, the oldest first.
+// queue grants read slots to admitted connections, the oldest first.
 //
-// Guard: left to the scheduler, a thousand connections that are accepted at once are a
-// thousand goroutines that run in no order, and the work that was begun for others waits
-// among them. With a few turns at a time that work goes on, and each connection's wait is
-// known.
+// Left to the scheduler, a thousand connections accepted at once are a thousand goroutines that run
+// in no particular order, and the work that was begun for earlier requests waits among them. With
+// few slots that work goes on, and the wait of each connection can be estimated.
 type queue struct {
-	// turns is how many connections may have their turn at once.
-	turns int
+	// slots is the number of read slots.
+	slots int
 
-	mu      sync.Mutex
-	waiting list.List // of *ticket, the oldest first
-	held    int
-	// turn is the mean time between two calls while others wait, last the newest call or the
-	// moment at which the first of those that wait came.
-	turn time.Duration
-	last time.Time
-	// measured is how many turns the mean holds, beyond the guess that it began from.
-	measured int
+	mu         sync.Mutex
+	waiting    list.List // of *waiter, the oldest first
+	slotsInUse int
+	// grantInterval is the mean time between two grants while connections wait. lastGrant is the
+	// time of the last grant, or when the queue last became non-empty.
+	grantInterval time.Duration
+	lastGrant     time.Time
+	// samples is the number of samples in grantInterval, beyond its initial value.
+	samples int
 }
 
-func newQueue(turns int) *queue { return &queue{turns: turns, turn: firstTurn} }
+func newQueue(slots int) *queue { return &queue{slots: slots, grantInterval: initialGrantInterval} }
 
-// admit notes that a connection was accepted.
-func (q *queue) admit(now time.Time) *ticket {
+// admit adds an accepted connection to the queue.
+func (q *queue) admit(now time.Time) *waiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.waiting.Len() == 0 {
-		q.last = now
+		q.lastGrant = now
 	}
-	t := &ticket{since: now, called: make(chan struct{})}
-	t.place = q.waiting.PushBack(t)
-	return t
+	w := &waiter{admittedAt: now, granted: make(chan struct{})}
+	w.element = q.waiting.PushBack(w)
+	return w
 }
 
-// enter asks for t's turn, which has come once t.called is closed.
-func (q *queue) enter(t *ticket, now time.Time) {
+// request asks for a slot for t. t.granted is closed once t has it.
+func (q *queue) request(w *waiter, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if t.place != nil && !t.entered {
-		t.entered = true
-		q.call(now)
+	if w.element != nil && !w.requested {
+		w.requested = true
+		q.grantSlots(now)
 	}
 }
 
-// call gives turns to the oldest that have entered, as long as there are any.
-func (q *queue) call(now time.Time) {
-	for e := q.waiting.Front(); e != nil && q.held < q.turns; {
-		t, next := e.Value.(*ticket), e.Next()
-		if t.entered {
-			q.measure(t, now)
+// grantSlots grants free slots to the oldest waiters that have requested one.
+func (q *queue) grantSlots(now time.Time) {
+	for e := q.waiting.Front(); e != nil && q.slotsInUse < q.slots; {
+		w, next := e.Value.(*waiter), e.Next()
+		if w.requested {
+			q.measure(w, now)
 			q.waiting.Remove(e)
-			t.place = nil
-			t.holds = true
-			q.held++
-			close(t.called)
+			w.element = nil
+			w.holdsSlot = true
+			q.slotsInUse++
+			close(w.granted)
 		}
 		e = next
 	}
 }
 
-// measure takes the time since the last call into the mean. Those that are turned away as
-// they get their turn cost next to nothing and say nothing of the others.
-func (q *queue) measure(t *ticket, now time.Time) {
-	if now.Sub(t.since) <= tooLate {
-		took := min(now.Sub(q.last), longestTurn*q.turn)
-		q.turn = max(leastTurn, q.turn+time.Duration(turnWeight*float64(took-q.turn)))
-		q.measured++
+// measure adds the time since the last grant to the mean. Waiters that are shed as they get their
+// slot take next to no time and don't count.
+func (q *queue) measure(w *waiter, now time.Time) {
+	if now.Sub(w.admittedAt) <= maxReadWait {
+		interval := min(now.Sub(q.lastGrant), maxIntervalFactor*q.grantInterval)
+		q.grantInterval = max(minGrantInterval, q.grantInterval+time.Duration(grantIntervalWeight*float64(interval-q.grantInterval)))
+		q.samples++
 	}
-	q.last = now
+	q.lastGrant = now
 }
 
-// leave ends t's turn, or its wait when it was not called.
-func (q *queue) leave(t *ticket, now time.Time) {
+// release frees t's slot, or removes t from the queue when it has none.
+func (q *queue) release(w *waiter, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if t.place != nil {
-		q.waiting.Remove(t.place)
-		t.place = nil
-		close(t.called) // whoever waits for the turn of a connection that is closed goes on
+	if w.element != nil {
+		q.waiting.Remove(w.element)
+		w.element = nil
+		close(w.granted) // wakes a reader of a connection that is being closed
 		return
 	}
-	if t.holds {
-		t.holds = false
-		q.held--
-		q.call(now)
+	if w.holdsSlot {
+		w.holdsSlot = false
+		q.slotsInUse--
+		q.grantSlots(now)
 	}
 }
 
-// wait is how long a connection that is accepted now will wait: at least as long as the
-// oldest has waited, and a turn for each that waits unless all have just come.
+// estimatedWait returns how long a connection accepted now will wait: at least as long as the
+// oldest waiter has waited, and one grant interval per waiter unless all of them are recent.
 //
-// Guard: a process that stood still before it read anybody knows no turn's time, and a burst
-// looks like a long wait by the guess alone: most of it was turned away at a host that reads it
-// all in a moment. Until turns were measured, only the time that has passed counts.
-func (q *queue) wait(now time.Time) time.Duration {
+// A process that was stalled before its first read has no measured interval, and with the initial
+// value a burst looks like a long wait: most of it would be shed on a host that can read it all at
+// once. Until enough intervals are measured, only the elapsed wait counts.
+func (q *queue) estimatedWait(now time.Time) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	oldest := q.waiting.Front()
 	if oldest == nil {
 		return 0
 	}
-	waited := now.Sub(oldest.Value.(*ticket).since)
-	if waited < youngQueue || q.measured < turnsToJudge {
+	waited := now.Sub(oldest.Value.(*waiter).admittedAt)
+	if waited < burstTolerance || q.samples < minIntervalSamples {
 		return waited
 	}
-	return max(waited, time.Duration(q.waiting.Len())*q.turn)
+	return max(waited, time.Duration(q.waiting.Len())*q.grantInterval)
 }
 
-// caughtUp reports whether nobody waits, and forgets how long turns took if so.
-func (q *queue) caughtUp() bool {
+// resetIfIdle reports whether no connection waits or holds a slot, and if so discards a slow
+// grantInterval.
+func (q *queue) resetIfIdle() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.waiting.Len() > 0 || q.held > 0 {
+	if q.waiting.Len() > 0 || q.slotsInUse > 0 {
 		return false
 	}
-	if q.turn > firstTurn {
-		q.turn, q.measured = firstTurn, 0
+	if q.grantInterval > initialGrantInterval {
+		q.grantInterval, q.samples = initialGrantInterval, 0
 	}
 	return true
 }
--- a/pkg/admission/queue_test.go
+++ b/pkg/admission/queue_test.go
@@ -10,115 +10,114 @@
 
 var start = time.Unix(1000, 0)
 
-func called(t *ticket) bool {
+func isGranted(w *waiter) bool {
 	select {
-	case <-t.called:
+	case <-w.granted:
 		return true
 	default:
 		return false
 	}
 }
 
-func TestTurnsGoToTheOldestThatEntered(t *testing.T) {
+func TestSlotsGoToTheOldestRequest(t *testing.T) {
 	q := newQueue(1)
 	a, b, c := q.admit(start), q.admit(start), q.admit(start)
-	q.enter(c, start)
-	require.True(t, called(c), "nobody older has entered")
-	q.enter(b, start)
-	q.enter(a, start)
-	require.False(t, called(a))
-	q.leave(c, start)
-	require.True(t, called(a))
-	require.False(t, called(b))
-	q.leave(a, start)
-	require.True(t, called(b))
+	q.request(c, start)
+	require.True(t, isGranted(c), "no older waiter has requested a slot")
+	q.request(b, start)
+	q.request(a, start)
+	require.False(t, isGranted(a))
+	q.release(c, start)
+	require.True(t, isGranted(a))
+	require.False(t, isGranted(b))
+	q.release(a, start)
+	require.True(t, isGranted(b))
 }
 
-// A router reads a connection each 10 ms while some wait. Whoever comes while 30 wait must be
-// known to wait for about 300 ms.
-func TestWaitFollowsFromTheTurns(t *testing.T) {
-	require.Zero(t, newQueue(1).wait(start))
+// With a connection read every 10 ms, the estimated wait behind 30 others is about 300 ms.
+func TestEstimatedWaitFollowsTheGrantInterval(t *testing.T) {
+	require.Zero(t, newQueue(1).estimatedWait(start))
 	q := newQueue(1)
 	now := start
-	var tickets []*ticket
+	var waiters []*waiter
 	for range 131 {
 		one := q.admit(now)
-		q.enter(one, now)
-		tickets = append(tickets, one)
+		q.request(one, now)
+		waiters = append(waiters, one)
 	}
-	for _, one := range tickets[:100] {
-		require.True(t, called(one))
+	for _, one := range waiters[:100] {
+		require.True(t, isGranted(one))
 		now = now.Add(10 * time.Millisecond)
-		for _, later := range tickets {
-			later.since = now // as if they had come just now: only the turns count
+		for _, later := range waiters {
+			later.admittedAt = now // as if just admitted, so that only the intervals count
 		}
-		q.leave(one, now)
+		q.release(one, now)
 	}
-	require.Zero(t, q.wait(now), "they may be read at once")
-	require.InDelta(t, 300*time.Millisecond, q.wait(now.Add(youngQueue)), float64(5*time.Millisecond))
+	require.Zero(t, q.estimatedWait(now), "a recent burst may be read at once")
+	require.InDelta(t, 300*time.Millisecond, q.estimatedWait(now.Add(burstTolerance)), float64(5*time.Millisecond))
 }
 
-// Connections that waited too long are turned away as they get their turn, in no time. The
-// wait that is told must not shrink by that, or still more would be let in to wait too long.
-func TestTurnsOfThoseTurnedAwaySayNothing(t *testing.T) {
+// Guards against an estimate that shrinks while connections are shed: those that waited too long
+// are shed in no time when they get their slot, and counting them would admit still more
+// connections that wait too long.
+func TestShedConnectionsDoNotShortenTheGrantInterval(t *testing.T) {
 	q := newQueue(1)
-	var tickets []*ticket
+	var waiters []*waiter
 	for range 100 {
 		one := q.admit(start)
-		q.enter(one, start)
-		tickets = append(tickets, one)
+		q.request(one, start)
+		waiters = append(waiters, one)
 	}
-	late := start.Add(tooLate + time.Millisecond)
-	for _, one := range tickets[:60] {
-		q.leave(one, late)
+	late := start.Add(maxReadWait + time.Millisecond)
+	for _, one := range waiters[:60] {
+		q.release(one, late)
 	}
-	require.GreaterOrEqual(t, q.turn, firstTurn/2)
+	require.GreaterOrEqual(t, q.grantInterval, initialGrantInterval/2)
 }
 
-// Connections come, ask for their turn, leave it and break off in any order. The turns given
-// at once never exceed their number, nobody waits while a turn is free, and at the end none
-// is lost.
-func TestTurnsAreNeitherLostNorDoubled(t *testing.T) {
+// For any order of admission, request, release and disconnect, the slots in use never exceed their
+// number, no waiter waits while a slot is free, and no slot is lost in the end.
+func TestSlotsAreNeitherLostNorDoubled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		turns := rapid.IntRange(1, 4).Draw(t, "turns")
-		q := newQueue(turns)
+		slots := rapid.IntRange(1, 4).Draw(t, "slots")
+		q := newQueue(slots)
 		now := start
-		var tickets []*ticket
+		var waiters []*waiter
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Millisecond)
-			if len(tickets) == 0 || rapid.Bool().Draw(t, "admit") {
-				tickets = append(tickets, q.admit(now))
+			if len(waiters) == 0 || rapid.Bool().Draw(t, "admit") {
+				waiters = append(waiters, q.admit(now))
 				continue
 			}
-			one := rapid.SampledFrom(tickets).Draw(t, "ticket")
+			one := rapid.SampledFrom(waiters).Draw(t, "waiter")
 			if rapid.Bool().Draw(t, "enter") {
-				q.enter(one, now)
+				q.request(one, now)
 			} else {
-				q.leave(one, now)
+				q.release(one, now)
 			}
-			checkTurns(t, q, tickets)
+			checkSlots(t, q, waiters)
 		}
-		for _, one := range tickets {
-			q.leave(one, now)
+		for _, one := range waiters {
+			q.release(one, now)
 		}
-		require.Zero(t, q.held)
+		require.Zero(t, q.slotsInUse)
 		require.Zero(t, q.waiting.Len())
 	})
 }
 
-func checkTurns(t *rapid.T, q *queue, tickets []*ticket) {
+func checkSlots(t *rapid.T, q *queue, waiters []*waiter) {
 	held, waiting := 0, 0
-	for _, one := range tickets {
-		if one.holds {
+	for _, w := range waiters {
+		if w.holdsSlot {
 			held++
 		}
-		if one.place != nil && one.entered {
+		if w.element != nil && w.requested {
 			waiting++
 		}
 	}
-	require.Equal(t, held, q.held)
-	require.LessOrEqual(t, held, q.turns)
+	require.Equal(t, held, q.slotsInUse)
+	require.LessOrEqual(t, held, q.slots)
 	if waiting > 0 {
-		require.Equal(t, q.turns, held, "a turn is free while somebody waits")
+		require.Equal(t, q.slots, held, "a slot is free while a waiter waits")
 	}
 }
--- a/pkg/admission/refuser.go
+++ b/pkg/admission/refuser.go
@@ -9,209 +9,210 @@
 )
 
 const (
-	// lookEvery is the pause between two looks at connections that are turned away.
-	lookEvery = 20 * time.Millisecond
-	// answersALook bounds the refusals that are written in one look. A process that gets little
-	// processor looks less often, so that serving stays the larger part of what it does.
-	answersALook = 160
-	// refillAfter is how long nobody must have been refused before the allowance is full again.
-	refillAfter = time.Second
-	// mostRefused bounds the connections that are being refused, in descriptors.
-	mostRefused = 768
+	// refuserPollInterval is the interval at which connections that are being refused are polled.
+	refuserPollInterval = 20 * time.Millisecond
+	// maxRefusalsPerPoll bounds the refusals written in one poll. A process that gets little CPU
+	// polls less often, so that serving remains the larger part of its work.
+	maxRefusalsPerPoll = 160
+	// refillDelay is the time without a refusal after which the budget may be refilled.
+	refillDelay = time.Second
+	// maxPendingRefusals bounds the connections that are being refused, as each holds a descriptor.
+	maxPendingRefusals = 768
 )
 
-// refuser answers connections that are turned away.
+// refuser answers shed connections with a refusal.
 type refuser struct {
-	// refusal is what those that are turned away now are answered.
+	// refusal returns the answer for connections that are refused now.
 	refusal func(now time.Time) []byte
-	// processor is the processor time that this process has used, thread that of the calling thread.
-	processor, thread func() time.Duration
-	count             atomic.Int64
-	// meter counts bytes; nil for none.
+	// processCPU returns the CPU time of the process, threadCPU that of the calling thread.
+	processCPU, threadCPU func() time.Duration
+	refusedCount          atomic.Int64
+	// meter counts bytes; it may be nil.
 	meter *traffic.Meter
 
-	mu      sync.Mutex
-	allowed allowance
-	// usedAt is the processor clock as of the newest look at it, looks the processor time of looks
-	// that no measurement holds yet.
-	usedAt time.Time
-	looks  time.Duration
-	// spared is the time in which the processor was there to be had.
-	spared time.Duration
-	// refusedAt is when the newest refusal was made.
-	refusedAt time.Time
-	list      []refused // the oldest first
-	// text is the refusal as it was made at madeAt.
-	text   []byte
-	madeAt time.Time
-	// skip takes what is read and not used.
-	skip []byte
-	// looking is whether a look is due.
-	looking bool
-	ended   bool
-}
-
-// refuse turns a connection away with an answer. It reports false for one that there is no room
-// for, which is left to the caller.
+	mu     sync.Mutex
+	budget refusalBudget
+	// cpuTime is the CPU clock as last read, including idleCPU. unmeasuredPolling is the CPU time
+	// of polls that no measurement includes yet.
+	cpuTime           time.Time
+	unmeasuredPolling time.Duration
+	// idleCPU is the total time in which the CPU was idle.
+	idleCPU time.Duration
+	// lastRefusal is when the last connection was refused.
+	lastRefusal time.Time
+	pending     []refusedConn // oldest first
+	// response is the refusal as it was built at responseAt.
+	response   []byte
+	responseAt time.Time
+	// scratch is the buffer for bytes that are read and discarded.
+	scratch []byte
+	// pollScheduled is whether a poll is scheduled.
+	pollScheduled bool
+	isClosed      bool
+}
+
+// refuse answers a connection with a refusal. It reports false when the budget or
+// maxPendingRefusals doesn't allow it; the caller then still owns the connection.
 //
-// Most requests have come by the time at which their connection is accepted. They are answered
-// and closed here; the others wait for the next look.
-func (r *refuser) refuse(one refused) bool {
+// Most requests have arrived when their connection is accepted. They are answered and closed here;
+// the others wait for the next poll.
+func (r *refuser) refuse(conn refusedConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.list) >= mostRefused || !r.hasRoom() {
+	if len(r.pending) >= maxPendingRefusals || !r.canRefuse() {
 		return false
 	}
-	r.count.Add(1)
-	r.refusedAt = one.since
-	r.allowed.spend(1, r.usedAt)
-	if r.ended || one.step(r.textAt(one.since), r.buffer(), r.meter, one.since) {
-		one.close()
+	r.refusedCount.Add(1)
+	r.lastRefusal = conn.acceptedAt
+	r.budget.spend(1, r.cpuTime)
+	if r.isClosed || conn.step(r.currentResponse(conn.acceptedAt), r.scratchBuffer(), r.meter, conn.acceptedAt) {
+		conn.close()
 		return true
 	}
-	r.list = append(r.list, one)
-	r.schedule()
+	r.pending = append(r.pending, conn)
+	r.schedulePoll()
 	return true
 }
 
-// hasRoom reports whether one more may be refused. The clock is read again before it says no.
-func (r *refuser) hasRoom() bool {
-	if r.allowed.room(r.usedAt) >= 1 {
+// canRefuse reports whether one more connection may be refused. It reads the CPU clock again before
+// it returns false.
+func (r *refuser) canRefuse() bool {
+	if r.budget.available(r.cpuTime) >= 1 {
 		return true
 	}
-	r.usedAt = r.asTime(r.processor())
-	return r.allowed.room(r.usedAt) >= 1
+	r.cpuTime = r.asTime(r.processCPU())
+	return r.budget.available(r.cpuTime) >= 1
 }
 
-// begin reads the clocks before connections are turned away.
-func (r *refuser) begin() reading {
+// startTiming reads the CPU clocks before connections are refused.
+func (r *refuser) startTiming() cpuTimes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.read()
+	return r.readClocks()
 }
 
-// measure notes that n connections were refused since began, and others closed.
-func (r *refuser) measure(n int, began reading) {
+// measure records that n connections were refused since began.
+func (r *refuser) measure(n int, began cpuTimes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	took := r.read().since(began)
+	took := r.readClocks().since(began)
 	if n > 0 {
-		r.allowed.settle(n, took+r.looks)
-		r.allowed.measure(n, took+r.looks, r.usedAt)
-		r.looks = 0
+		r.budget.settle(n, took+r.unmeasuredPolling)
+		r.budget.updateCost(n, took+r.unmeasuredPolling, r.cpuTime)
+		r.unmeasuredPolling = 0
 	}
 }
 
-// observe reads how much of the processor the process gets.
-func (r *refuser) observe(now time.Time) {
+// observeCPU updates the share of a core that the process gets.
+func (r *refuser) observeCPU(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.usedAt = r.asTime(r.processor())
-	r.allowed.share.read(r.usedAt, now)
+	r.cpuTime = r.asTime(r.processCPU())
+	r.budget.cpuShare.observe(r.cpuTime, now)
 }
 
-// read reads the clocks.
-func (r *refuser) read() reading {
-	now := reading{process: r.processor(), thread: r.thread()}
-	r.usedAt = r.asTime(now.process)
+// readClocks reads the clocks.
+func (r *refuser) readClocks() cpuTimes {
+	now := cpuTimes{process: r.processCPU(), thread: r.threadCPU()}
+	r.cpuTime = r.asTime(now.process)
 	return now
 }
 
-// refill allows as many refusals as after a long pause, unless some were made lately.
+// refill fills the budget, unless connections were refused recently.
 //
-// Guard: an overloaded router that gets its processor in turns is calm for a moment in most of them.
-// With a full allowance after each, refusals have no bound.
+// Under a CPU quota an overloaded router is idle for a moment in most of its time slices. If each
+// of them refilled the budget, refusals would have no limit.
 func (r *refuser) refill(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.refusedAt) >= refillAfter {
-		r.allowed.refill()
+	if now.Sub(r.lastRefusal) >= refillDelay {
+		r.budget.refill()
 	}
 }
 
-// spare notes that for d the processor was there to be had.
-func (r *refuser) spare(d time.Duration) {
+// addIdleCPU records that the CPU was idle for d.
+func (r *refuser) addIdleCPU(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spared += d
+	r.idleCPU += d
 }
 
-// asTime gives the processor time that this process has used or could have as a time.
-func (r *refuser) asTime(used time.Duration) time.Time { return time.Unix(0, int64(used+r.spared)) }
+// asTime converts the CPU time that this process has used, plus its idle time, into a time.
+func (r *refuser) asTime(used time.Duration) time.Time { return time.Unix(0, int64(used+r.idleCPU)) }
 
-// meanTime is the mean processor time of a refusal.
-func (r *refuser) meanTime() time.Duration {
+// meanCost returns the mean CPU time of a refusal.
+func (r *refuser) meanCost() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.allowed.each
+	return r.budget.cost
 }
 
-// share is the part of a core that the process got lately.
-func (r *refuser) share() float64 {
+// cpuShare returns the recent share of a core.
+func (r *refuser) cpuShare() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.allowed.share.value
+	return r.budget.cpuShare.value
 }
 
-// textAt is the refusal at now, made anew after a while.
-func (r *refuser) textAt(now time.Time) []byte {
-	if r.text == nil || now.Sub(r.madeAt) >= lookEvery {
-		r.text, r.madeAt = r.refusal(now), now
+// currentResponse returns the refusal, rebuilt when it is older than refuserPollInterval.
+func (r *refuser) currentResponse(now time.Time) []byte {
+	if r.response == nil || now.Sub(r.responseAt) >= refuserPollInterval {
+		r.response, r.responseAt = r.refusal(now), now
 	}
-	return r.text
+	return r.response
 }
 
-func (r *refuser) buffer() []byte {
-	if r.skip == nil {
-		r.skip = make([]byte, skipBytes)
+func (r *refuser) scratchBuffer() []byte {
+	if r.scratch == nil {
+		r.scratch = make([]byte, scratchSize)
 	}
-	return r.skip
+	return r.scratch
 }
 
-// schedule has the connections looked at after a while.
-func (r *refuser) schedule() {
-	if r.looking || len(r.list) == 0 {
+// schedulePoll schedules a poll if connections are pending.
+func (r *refuser) schedulePoll() {
+	if r.pollScheduled || len(r.pending) == 0 {
 		return
 	}
-	r.looking = true
-	time.AfterFunc(lookEvery, r.look)
+	r.pollScheduled = true
+	time.AfterFunc(refuserPollInterval, r.poll)
 }
 
-// look goes on with the connections that are turned away, the oldest first.
-func (r *refuser) look() {
+// poll continues all pending refusals, oldest first.
+func (r *refuser) poll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now, began := time.Now(), r.read()
-	refusal := r.textAt(now)
-	rest := make([]refused, 0, len(r.list))
-	left := answersALook
-	for _, one := range r.list {
-		fresh := one.answered.IsZero()
-		if fresh && left == 0 {
-			rest = append(rest, one)
+	now, began := time.Now(), r.readClocks()
+	refusal := r.currentResponse(now)
+	rest := make([]refusedConn, 0, len(r.pending))
+	allowed := maxRefusalsPerPoll
+	for _, conn := range r.pending {
+		fresh := conn.answeredAt.IsZero()
+		if fresh && allowed == 0 {
+			rest = append(rest, conn)
 			continue
 		}
-		if one.step(refusal, r.buffer(), r.meter, now) {
-			one.close()
+		if conn.step(refusal, r.scratchBuffer(), r.meter, now) {
+			conn.close()
 			continue
 		}
-		if fresh && !one.answered.IsZero() {
-			left--
+		if fresh && !conn.answeredAt.IsZero() {
+			allowed--
 		}
-		rest = append(rest, one)
+		rest = append(rest, conn)
 	}
-	r.list, r.looking = rest, false
-	r.looks += r.read().since(began)
-	r.schedule()
+	r.pending, r.pollScheduled = rest, false
+	r.unmeasuredPolling += r.readClocks().since(began)
+	r.schedulePoll()
 }
 
-// close closes all, and from now on each at once.
+// close closes all pending connections. Connections refused from now on are closed immediately.
 func (r *refuser) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = true
-	for _, one := range r.list {
-		one.close()
+	r.isClosed = true
+	for _, conn := range r.pending {
+		conn.close()
 	}
-	r.list = nil
+	r.pending = nil
 }
--- a/pkg/admission/whole.go
+++ b/pkg/admission/request.go
@@ -6,16 +6,17 @@
 	"strconv"
 )
 
-// Marks of a request's framing.
+// Delimiters of a request's framing.
 var (
-	headEnd  = []byte("\r\n\r\n")
-	lineEnd  = []byte("\r\n")
-	lastPart = []byte("0\r\n\r\n")
+	headEnd   = []byte("\r\n\r\n")
+	lineEnd   = []byte("\r\n")
+	lastChunk = []byte("0\r\n\r\n")
 )
 
-// isWhole reports whether request, the first bytes on a connection, is at least one whole request.
-// In doubt it says no: such a connection is only kept open for longer.
-func isWhole(request []byte) bool {
+// isCompleteRequest reports whether request, the first bytes of a connection, contains at least one
+// complete request. When in doubt it returns false, which only keeps the connection open for
+// longer.
+func isCompleteRequest(request []byte) bool {
 	end := bytes.Index(request, headEnd)
 	if end < 0 {
 		return false
@@ -23,20 +24,20 @@
 	body := request[end+len(headEnd):]
 	length, chunked := framing(request[:end])
 	if chunked {
-		return bytes.HasSuffix(body, lastPart)
+		return bytes.HasSuffix(body, lastChunk)
 	}
 	return length >= 0 && len(body) >= length
 }
 
-// framing gives the declared length of the body that follows a head, negative when it can't be
-// read, and whether the body comes in chunks.
+// framing returns the declared length of the body that follows a head, negative when it is invalid,
+// and whether the body is chunked.
 func framing(head []byte) (length int, chunked bool) {
 	for len(head) > 0 {
 		var line []byte
 		line, head, _ = bytes.Cut(head, lineEnd)
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		if len(name) != len("Content-Length") && len(name) != len("Transfer-Encoding") {
-			continue // most lines
+			continue // skip most headers cheaply
 		}
 		switch textproto.CanonicalMIMEHeaderKey(string(name)) {
 		case "Transfer-Encoding":
--- a/pkg/admission/whole_test.go
+++ b/pkg/admission/request_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWholeRequests(t *testing.T) {
+func TestIsCompleteRequest(t *testing.T) {
 	for request, whole := range map[string]bool{
 		"":                                  false,
 		"GET / HTTP/1.1\r\nHost: h\r\n":     false,
@@ -24,23 +24,23 @@
 		"POST / HTTP/1.1\r\nX: " + strings.Repeat("y", 1000) + "\r\n\r\n":                   true,
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nab": false,
 	} {
-		require.Equal(t, whole, isWhole([]byte(request)), "%q", request)
+		require.Equal(t, whole, isCompleteRequest([]byte(request)), "%q", request)
 	}
 }
 
-// Whatever comes on a connection, more bytes never make a whole request with a declared length
-// less than whole, and nothing is whole before its head has ended.
-func FuzzWhole(f *testing.F) {
-	f.Add([]byte(asks))
+// For any bytes, nothing is complete before its head has ended, and more bytes don't make a
+// complete request with a declared length incomplete.
+func FuzzIsCompleteRequest(f *testing.F) {
+	f.Add([]byte(postRequest))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, request []byte) {
-		if !isWhole(request) {
+		if !isCompleteRequest(request) {
 			return
 		}
 		require.Contains(t, string(request), "\r\n\r\n")
 		head, _, _ := strings.Cut(string(request), "\r\n\r\n")
 		if _, chunked := framing([]byte(head)); !chunked {
-			require.True(t, isWhole(append(request, "more"...)))
+			require.True(t, isCompleteRequest(append(request, "more"...)))
 		}
 	})
 }
--- a/pkg/admission/rounds.go
+++ b/pkg/admission/rounds.go
@@ -3,84 +3,83 @@
 import "time"
 
 const (
-	// firstRound, leastRound and mostRound are how many connections are let in before the
-	// others get the processor: at first, at least, at most.
-	firstRound = 32
-	leastRound = 4
-	mostRound  = 256
-	// longRound is the time for which the others have the processor from which on fewer are
-	// let in, and what still waits is turned away: it would wait for a further round. With
-	// quickRound or less more are let in.
-	longRound  = 80 * time.Millisecond
-	quickRound = 40 * time.Millisecond
-	// overloadMemory is how long after a slow round a further one shows an overload. Where a
-	// quota gives the processor in turns, several rounds may pass between two that its pauses
-	// meet.
+	// initialRoundSize, minRoundSize and maxRoundSize are the initial, smallest and largest number
+	// of connections admitted before other goroutines get the CPU.
+	initialRoundSize = 32
+	minRoundSize     = 4
+	maxRoundSize     = 256
+	// slowRound is the time for other goroutines above which a round counts as slow: the next
+	// one is smaller, and connections that still wait are shed, as they would wait for another
+	// round. Below fastRound the next round is larger.
+	slowRound = 80 * time.Millisecond
+	fastRound = 40 * time.Millisecond
+	// overloadMemory is the time within which a second slow round means overload. Under a CPU
+	// quota, several rounds may pass between two that are interrupted by its pauses.
 	overloadMemory = 5 * time.Second
-	// remembered is how long a round says something of the next one.
-	remembered = 500 * time.Millisecond
+	// roundTTL is how long the duration of a round is relevant for the next one.
+	roundTTL = 500 * time.Millisecond
 )
 
-// rounds decides how many connections are let in at once.
+// rounds determines how many connections are admitted per round.
 type rounds struct {
-	// most are let in in this round, n have been.
-	most, n int
-	// took is how long the others had the processor after the last round, which ended at.
-	took time.Duration
-	at   time.Time
-	// slowAt is when the newest slow round ended, slowBefore whether another one did lately
+	// size is the size of this round, admitted the number of connections admitted in it.
+	size, admitted int
+	// took is how long other goroutines had the CPU after the last round, ended when that round
+	// ended.
+	took  time.Duration
+	ended time.Time
+	// lastSlow is when the last slow round ended, wasSlowBefore whether another one ended shortly
 	// before it.
-	slowAt     time.Time
-	slowBefore bool
-	// usual is how many connections were let in in a quota's period lately.
-	usual int
+	lastSlow      time.Time
+	wasSlowBefore bool
+	// perQuotaPeriod is the recent number of admitted connections per quota period.
+	perQuotaPeriod int
 }
 
-// let counts a connection that was let in.
-func (r *rounds) let() { r.n++ }
+// countAdmitted counts an admitted connection.
+func (r *rounds) countAdmitted() { r.admitted++ }
 
 // full reports whether the round should end.
-func (r *rounds) full() bool { return r.n >= r.most }
+func (r *rounds) full() bool { return r.admitted >= r.size }
 
-// slow reports whether those let in just before took long.
-func (r *rounds) slow(now time.Time) bool { return r.took > longRound && now.Sub(r.at) < remembered }
+// slow reports whether the last round was slow and recent.
+func (r *rounds) slow(now time.Time) bool { return r.took > slowRound && now.Sub(r.ended) < roundTTL }
 
-// calm begins the round anew, as nobody waited to be accepted; what the last one took stays.
-func (r *rounds) calm() { r.n = 0 }
+// restart restarts the round because no connection waits. The duration of the last round is kept.
+func (r *rounds) restart() { r.admitted = 0 }
 
-// forget forgets the last round, but not that one was slow lately.
+// reset forgets the last round, but not the time of the last slow one.
 //
-// Guard: in its turn of the processor an overloaded router catches up and is calm for some
-// milliseconds. Rounds that double from there on reach 256 connections within one turn, which
-// then take the processor for a second, and who comes meanwhile gets no answer.
-func (r *rounds) forget() { *r = rounds{most: firstRound, slowAt: r.slowAt} }
+// In its time slice an overloaded router catches up and is idle for some milliseconds. If rounds
+// doubled from there on, they would reach 256 connections within one slice; reading these takes the
+// CPU for a second, and connections that arrive meanwhile get no answer.
+func (r *rounds) reset() { *r = rounds{size: initialRoundSize, lastSlow: r.lastSlow} }
 
-// next begins a round after the others have had the processor for took. As long as one was slow
-// lately, rounds grow by steps and don't double, see forget.
+// startNext starts a round after other goroutines had the CPU for the given time. While a slow
+// round was recent, rounds grow by steps instead of doubling, see reset.
 //
-// Guard: where a quota gives the processor in turns, each pause makes a round slow, whatever was let
-// in. Halved by each of them, rounds let in far less than the turns can serve.
-func (r *rounds) next(took time.Duration, now time.Time) {
-	r.n, r.took, r.at = 0, took, now
-	if took > longRound {
-		r.slowBefore = now.Sub(r.slowAt) < overloadMemory
-		r.slowAt = now
+// Under a CPU quota each pause makes a round slow, whatever its size. If each of them halved the
+// round, far fewer connections would be admitted than the process can serve.
+func (r *rounds) startNext(took time.Duration, now time.Time) {
+	r.admitted, r.took, r.ended = 0, took, now
+	if took > slowRound {
+		r.wasSlowBefore = now.Sub(r.lastSlow) < overloadMemory
+		r.lastSlow = now
 	}
 	switch {
-	case took > longRound:
-		r.most = max(leastRound, r.most/2, min(r.most, r.usual))
-	case took < quickRound && now.Sub(r.slowAt) < overloadMemory:
-		r.most = min(mostRound, r.most+leastRound)
-	case took < quickRound:
-		r.most = min(mostRound, 2*r.most)
+	case took > slowRound:
+		r.size = max(minRoundSize, r.size/2, min(r.size, r.perQuotaPeriod))
+	case took < fastRound && now.Sub(r.lastSlow) < overloadMemory:
+		r.size = min(maxRoundSize, r.size+minRoundSize)
+	case took < fastRound:
+		r.size = min(maxRoundSize, 2*r.size)
 	}
 }
 
-// overloaded reports whether the last round was slow, and another one was lately.
+// overloaded reports whether the last round was slow, and another one was recently.
 //
-// Guard: the processor may be taken from the process for a moment, by a quota or a neighbour.
-// Taken for overload, that turns a whole burst away at a host that is idle a moment later. An
-// overload shows again soon, though not in the next round: where a quota gives the processor in
-// turns, quick rounds lie between the slow ones, and a router that waits for two in a row leaves
-// most callers without an answer.
-func (r *rounds) overloaded(now time.Time) bool { return r.slow(now) && r.slowBefore }
+// A single slow round may be a pause by a CPU quota or a noisy neighbour; treating it as overload
+// would shed a whole burst on a host that is idle a moment later. The second slow round need not be
+// the next one: under a quota, fast rounds lie between the slow ones, and a router that waits for
+// two in a row leaves most callers without an answer.
+func (r *rounds) overloaded(now time.Time) bool { return r.slow(now) && r.wasSlowBefore }
--- a/pkg/admission/rounds_test.go
+++ b/pkg/admission/rounds_test.go
@@ -7,65 +7,64 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While the others need long for what was let in, less is let in, and what waits beyond it is
-// turned away; as they get quick again, more.
-func TestRoundsFollowTheProcessor(t *testing.T) {
-	r := rounds{most: firstRound}
+// Slow rounds shrink the next round and shed what still waits; fast rounds enlarge it.
+func TestRoundSizeFollowsRoundDuration(t *testing.T) {
+	r := rounds{size: initialRoundSize}
 	fill := func() {
 		for !r.full() {
-			r.let()
+			r.countAdmitted()
 		}
 	}
 	fill()
-	r.next(longRound+time.Millisecond, start)
-	require.Equal(t, firstRound/2, r.most)
+	r.startNext(slowRound+time.Millisecond, start)
+	require.Equal(t, initialRoundSize/2, r.size)
 	require.True(t, r.slow(start))
-	require.False(t, r.slow(start.Add(remembered)), "that is long past")
+	require.False(t, r.slow(start.Add(roundTTL)), "the round is too long ago")
 	require.False(t, r.full())
 	for range 20 {
-		r.next(time.Second, start)
+		r.startNext(time.Second, start)
 	}
-	require.Equal(t, leastRound, r.most)
-	r.next(quickRound-time.Millisecond, start)
-	require.Equal(t, 2*leastRound, r.most)
+	require.Equal(t, minRoundSize, r.size)
+	r.startNext(fastRound-time.Millisecond, start)
+	require.Equal(t, 2*minRoundSize, r.size)
 	require.False(t, r.slow(start))
 	for range 20 {
-		r.next(0, start)
+		r.startNext(0, start)
 	}
-	require.Equal(t, 22*leastRound, r.most, "a little more each time, as a round was slow lately")
+	require.Equal(t, 22*minRoundSize, r.size, "rounds grow by steps after a recent slow round")
 	for range 20 {
-		r.next(0, start.Add(overloadMemory))
+		r.startNext(0, start.Add(overloadMemory))
 	}
-	require.Equal(t, mostRound, r.most)
-	r.let()
-	r.calm()
-	require.Zero(t, r.n)
+	require.Equal(t, maxRoundSize, r.size)
+	r.countAdmitted()
+	r.restart()
+	require.Zero(t, r.admitted)
 }
 
-// Guards against a router under a quota that lets in far less than its turns can serve, and against
-// one that goes on letting in what it no longer can.
-func TestPausesOfAQuotaDontStarveTheTurns(t *testing.T) {
-	const perTurn, pause = 50, 90 * time.Millisecond
-	r, l, now := rounds{most: perTurn}, load{}, start
-	turn := func(n int) {
+// Guards against a router under a CPU quota that admits far less than it can serve, and against one
+// that goes on admitting what it can no longer serve.
+func TestQuotaPausesDoNotShrinkRoundsBelowCapacity(t *testing.T) {
+	const perSlice, pause = 50, 90 * time.Millisecond
+	r, a, now := rounds{size: perSlice}, arrivals{}, start
+	runRound := func(n int) {
 		for range n {
-			r.let()
-			l.letIn(now)
+			r.countAdmitted()
+			a.countAdmitted(now)
 		}
 		now = now.Add(quotaPeriod)
-		r.usual = l.perPeriod(now)
-		r.next(pause, now)
+		r.perQuotaPeriod = a.admittedPerPeriod(now)
+		r.startNext(pause, now)
 	}
-	for range 40 * perTurn {
-		l.letIn(now)
-		now = now.Add(quotaPeriod / perTurn)
+	for range 40 * perSlice {
+		a.countAdmitted(now)
+		now = now.Add(quotaPeriod / perSlice)
 	}
 	for range 50 {
-		turn(perTurn)
+		runRound(perSlice)
 	}
-	require.GreaterOrEqual(t, r.most, perTurn*3/4)
+	require.GreaterOrEqual(t, r.size, perSlice*3/4)
 	for range 50 {
-		turn(1)
+		runRound(1)
 	}
-	require.Equal(t, leastRound, r.most)
+	require.Equal(t, minRoundSize, r.size)
 }
--- a/pkg/admission/stall_test.go
+++ b/pkg/admission/stall_test.go
@@ -12,24 +12,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// burstWaiting is how many callers wait in the kernel's queue before the first is accepted; any
-// system's queue holds as many.
-const burstWaiting = 120
+// pendingBurst is the number of callers that wait in the kernel's backlog before the first is
+// accepted. Any system's backlog holds as many.
+const pendingBurst = 120
 
-// A thousand callers come together to a calm router. Its processor is taken for a tenth of a
-// second while the first of them are read, as a host does whose share is a quota. One round
-// looks slow by that, and all who wait to be accepted, 815 of 1,000 as it was seen, are turned
-// away by a router that is idle a moment later.
-func TestBurstBesideAStallIsLetIn(t *testing.T) {
+// Guards against an idle router that sheds most of a burst because the process is stalled for a
+// tenth of a second while it reads the first requests, as under a CPU quota. One slow round alone
+// isn't an overload: 815 of 1,000 callers were shed by it.
+func TestBurstDuringAStallIsAdmitted(t *testing.T) {
 	for _, stalled := range []int{1, 2, 4} {
-		l := unserved(t, 0)
+		l := newTestListener(t, 0)
 		clock := &manualClock{at: start}
 		round := 0
 		l.now = clock.now
 		l.yield = func() {
 			runtime.Gosched()
 			if round++; round == stalled {
-				clock.pass(longRound + 20*time.Millisecond)
+				clock.advance(slowRound + 20*time.Millisecond)
 			}
 		}
 		s := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, state http.ConnState) {
@@ -38,12 +37,12 @@
 			}
 		}}
 		var callers, connected sync.WaitGroup
-		connected.Add(burstWaiting)
+		connected.Add(pendingBurst)
 		var n atomic.Int64
 		for range 1000 {
 			callers.Go(func() {
-				answered(t, l.Addr().String(), func() {
-					if n.Add(1) <= burstWaiting {
+				requestStatus(t, l.Addr().String(), func() {
+					if n.Add(1) <= pendingBurst {
 						connected.Done()
 					}
 				})
@@ -54,37 +53,36 @@
 		callers.Wait()
 		s.Close()
 		refused, closed := l.TurnedAway()
-		require.Zero(t, refused+closed, "stall in round %d", stalled)
+		require.Zero(t, refused+closed, "stalled in round %d", stalled)
 	}
 }
 
-// A router that is slow for two rounds is asked for more than it can do: what waits is turned
-// away then.
+// Two slow rounds mean overload: connections that wait are then shed.
 func TestTwoSlowRoundsAreAnOverload(t *testing.T) {
-	r := rounds{most: firstRound}
-	r.next(longRound+time.Millisecond, start)
-	require.False(t, r.overloaded(start), "the processor may have been taken for a moment")
-	r.next(longRound+time.Millisecond, start)
+	r := rounds{size: initialRoundSize}
+	r.startNext(slowRound+time.Millisecond, start)
+	require.False(t, r.overloaded(start), "the process may have been stalled for a moment")
+	r.startNext(slowRound+time.Millisecond, start)
 	require.True(t, r.overloaded(start))
-	require.False(t, r.overloaded(start.Add(remembered)))
-	r.next(quickRound, start)
+	require.False(t, r.overloaded(start.Add(roundTTL)))
+	r.startNext(fastRound, start)
 	require.False(t, r.overloaded(start))
 }
 
-// A quota gives the router its processor in turns: each tenth of a second one round is slow, and
-// those between are quick. Were two slow ones in a row asked for, hardly anybody would be turned
-// away, and 728 of 1,032 callers in a second were left without an answer.
+// Under a CPU quota one round in each tenth of a second is slow, and those between are fast. If two
+// slow rounds in a row were required, hardly any connection would be shed, and most callers would
+// get no answer: 728 of 1,032 in a second.
 func TestSlowRoundsBetweenQuickOnesAreAnOverload(t *testing.T) {
-	r := rounds{most: firstRound}
+	r := rounds{size: initialRoundSize}
 	now := start
 	for i := range 5 {
 		now = now.Add(100 * time.Millisecond)
-		r.next(longRound+time.Millisecond, now)
-		require.Equal(t, i > 0, r.overloaded(now), "turn %d", i)
-		r.next(time.Millisecond, now)
-		r.next(time.Millisecond, now)
+		r.startNext(slowRound+time.Millisecond, now)
+		require.Equal(t, i > 0, r.overloaded(now), "period %d", i)
+		r.startNext(time.Millisecond, now)
+		r.startNext(time.Millisecond, now)
 	}
 	now = now.Add(overloadMemory)
-	r.next(longRound+time.Millisecond, now)
-	require.False(t, r.overloaded(now), "long after the last one")
+	r.startNext(slowRound+time.Millisecond, now)
+	require.False(t, r.overloaded(now), "the last slow round is too long ago")
 }
