--- a/pkg/handover/choose.go
+++ b/pkg/handover/choose.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// choose gives the one of two targets that has less to do for its processor. open is the number
-// of connections that each has from this router, first and second are their places.
+// choose returns the less loaded of two targets, given by their indices. open returns the number of
+// connections that this router has to a target.
 //
-// Load pattern: callers crowd at one small host of a fleet whose other hosts are idle. Two
-// choices by chance spread what it passes on nearly as evenly as a look at all of them, and
-// routers that choose by the same reports don't all choose the same one.
+// Two random choices spread the connections of a small overloaded host over the fleet nearly as
+// evenly as a scan of all targets, and routers that choose by the same reports don't all choose the
+// same one.
 func choose(targets []Target, open func(addr string) int, first, second int) Target {
 	a, b := targets[first], targets[second]
 	if load(b, open(b.Addr)) < load(a, open(a.Addr)) {
@@ -16,9 +16,9 @@
 	return a
 }
 
-// without gives the targets but for the one at an address.
+// without returns the targets except the one at addr.
 //
-// Guard: a router that takes nothing has the fewest connections, and would be chosen again.
+// A router that accepts nothing has the fewest connections and would be chosen again.
 func without(targets []Target, addr string) []Target {
 	if addr == "" {
 		return targets
@@ -26,7 +26,7 @@
 	return slices.DeleteFunc(slices.Clone(targets), func(t Target) bool { return t.Addr == addr })
 }
 
-// leastPower stands for a processor that isn't known, in cores.
-const leastPower = 0.1
+// minCores is assumed for a target whose cores aren't known.
+const minCores = 0.1
 
-func load(t Target, open int) float64 { return float64(open+1) / max(leastPower, t.Power) }
+func load(t Target, open int) float64 { return float64(open+1) / max(minCores, t.Power) }
--- a/pkg/handover/choose_test.go
+++ b/pkg/handover/choose_test.go
@@ -7,8 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a crowd that is passed on to few routers, or to small ones as much as to strong
-// ones.
+// Guards against a burst that is relayed to few routers, or to small ones as much as to large ones.
 func TestConnectionsSpreadByPower(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var targets []Target
--- a/pkg/handover/connect.go
+++ b/pkg/handover/connect.go
@@ -8,21 +8,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// seek begins a connection to a router that takes p's.
-func (r *Relay) seek(p *pair, now time.Time) bool {
+// connectPeer starts a connection to a router for p. It returns false when no router is left to
+// try.
+func (r *Relay) connectPeer(p *pair, now time.Time) bool {
 	targets := r.eligible(p.target, now)
-	for p.tries < mostTries && len(targets) > 0 {
-		p.tries++
-		to := choose(targets, r.openTo, rand.IntN(len(targets)), rand.IntN(len(targets)))
-		fd, err := connect(to.Addr)
+	for p.attempts < maxAttempts && len(targets) > 0 {
+		p.attempts++
+		to := choose(targets, r.openConnsTo, rand.IntN(len(targets)), rand.IntN(len(targets)))
+		fd, err := startConnect(to.Addr)
 		if err != nil {
 			targets = without(targets, to.Addr)
 			continue
 		}
-		p.peer, p.target, p.sought, p.connected = fd, to.Addr, now, false
+		p.peer, p.target, p.connectStarted, p.connected = fd, to.Addr, now, false
 		if r.watch(fd, p) {
-			r.account(to.Addr).open++
-			r.floor = max(r.floor, to.Config)
+			r.stateOf(to.Addr).openConns++
+			r.minConfig = max(r.minConfig, to.Config)
 			return true
 		}
 		_ = unix.Close(fd) // nothing was sent
@@ -31,29 +32,29 @@
 	return false
 }
 
-// eligible gives the routers that may take a connection, but for the one at an address.
+// eligible returns the targets that may get a connection, except the one at the address except.
 //
-// Guard: routers learn of a new configuration one after the other. Passed on to one that has it and
-// then to one that hasn't, a caller of this router would see it taken back.
-func (r *Relay) eligible(but string, now time.Time) []Target {
+// Routers adopt a new configuration one after the other. If connections went first to a router that
+// has it and then to one that hasn't, a caller would see the configuration reverted.
+func (r *Relay) eligible(except string, now time.Time) []Target {
 	return slices.DeleteFunc(slices.Clone(r.targets()), func(t Target) bool {
-		return t.Addr == but || t.Config < r.floor || r.accounts[t.Addr].silent(quietAfter, now)
+		return t.Addr == except || t.Config < r.minConfig || r.targetStates[t.Addr].unresponsive(unresponsiveAfter, now)
 	})
 }
 
-func (r *Relay) account(addr string) *account {
-	a := r.accounts[addr]
-	if a == nil {
-		a = new(account)
-		r.accounts[addr] = a
+func (r *Relay) stateOf(addr string) *targetState {
+	s := r.targetStates[addr]
+	if s == nil {
+		s = new(targetState)
+		r.targetStates[addr] = s
 	}
-	return a
+	return s
 }
 
-// openTo is the number of connections that a router has from here.
-func (r *Relay) openTo(addr string) int {
-	if a := r.accounts[addr]; a != nil {
-		return a.open
+// openConnsTo returns the number of connections from this relay to a router.
+func (r *Relay) openConnsTo(addr string) int {
+	if s := r.targetStates[addr]; s != nil {
+		return s.openConns
 	}
 	return 0
 }
--- a/pkg/handover/counts.go
+++ b/pkg/handover/counts.go
@@ -1,6 +1,6 @@
 package handover
 
-// Open is the number of connections that are being passed on.
+// OpenConns returns the number of connections that are being relayed.
 func (r *Relay) Open() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -13,13 +13,14 @@
 	return n
 }
 
-// Counts gives the connections that were taken so far, and those of them that no router took.
-func (r *Relay) Counts() (taken, failed int64) { return r.taken.Load(), r.failed.Load() }
+// Counts returns how many connections were accepted so far, and how many of them no router accepted.
+func (r *Relay) Counts() (accepted, failed int64) { return r.accepted.Load(), r.failed.Load() }
 
-// pairsFor bounds the connections of a host with that many cores; 0 when that isn't known.
-func pairsFor(cores float64) int {
+// maxPairsFor returns the maximum number of connections on a host with the given number of cores; 0
+// means unknown.
+func maxPairsFor(cores float64) int {
 	if cores <= 0 {
-		return mostPairs
+		return maxPairs
 	}
-	return min(mostPairs, int(pairsPerCore*cores))
+	return min(maxPairs, int(pairsPerCore*cores))
 }
--- a/pkg/handover/doc.go
+++ b/pkg/handover/doc.go
@@ -1,7 +1,7 @@
-// Package handover passes callers' connections on to other routers where the own processor
-// doesn't suffice: their bytes are copied both ways without being looked at.
+// Package handover relays callers' connections to other routers when the local CPU is overloaded.
+// It copies bytes in both directions without parsing them.
 //
-// One goroutine moves the bytes of all connections at short intervals, with system calls that
-// don't wait. So a connection costs no goroutine and no buffer, and a small host passes on
-// several times as many requests as it can serve.
+// A single goroutine serves all connections at short intervals with non-blocking system calls. A
+// connection therefore costs neither a goroutine nor a buffer, and a small host can relay several
+// times as many requests as it can serve.
 package handover
--- a/pkg/handover/events.go
+++ b/pkg/handover/events.go
@@ -6,16 +6,16 @@
 	"github.com/flamingowind/flamingowind/internal/nowait"
 )
 
-// pairEvent is an event of one of a pair's sockets.
+// pairEvent is an event on one of a pair's sockets.
 type pairEvent struct {
 	pair  *pair
 	event unix.EpollEvent
 }
 
-// drainEvents gives all events since the newest look. Closes among them are noted first.
+// drainEvents returns all events since the last poll, after recording the hangups among them.
 //
-// Guard: a caller may have left while its request waited here for the processor. Passed on before
-// its close is seen, the request reaches an engine.
+// A caller may disconnect while its request waits here for the CPU. If the request were relayed
+// before the hangup is seen, it would reach an engine.
 func (r *Relay) drainEvents() []pairEvent {
 	r.drained = r.drained[:0]
 	for {
@@ -25,11 +25,11 @@
 		}
 		for _, e := range r.events[:n] {
 			if p := r.pairs[e.Fd]; p != nil {
-				p.notes(e)
+				p.noteHangup(e)
 				r.drained = append(r.drained, pairEvent{pair: p, event: e})
 			}
 		}
-		if n < eventsAtOnce {
+		if n < maxEvents {
 			return r.drained
 		}
 	}
--- a/pkg/handover/harness_test.go
+++ b/pkg/handover/harness_test.go
@@ -12,27 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// waits bounds what a test waits for.
-const waits = 20 * time.Second
+// testTimeout bounds all waits of a test.
+const testTimeout = 20 * time.Second
 
-// stage is a router that passes on all that comes to it, before other routers.
-type stage struct {
-	t       *testing.T
-	relay   *Relay
-	targets atomic.Pointer[[]Target]
-	refused chan refusedCaller
-	front   *net.TCPListener
+// testRelay is a router that relays all its connections to other routers.
+type testRelay struct {
+	t        *testing.T
+	relay    *Relay
+	targets  atomic.Pointer[[]Target]
+	refused  chan refusedCaller
+	listener *net.TCPListener
 }
 
-// refusedCaller is a caller that no router took.
+// refusedCaller is a caller that no router accepted.
 type refusedCaller struct{ unread, open bool }
 
-func newStage(t *testing.T, addrs ...string) *stage {
-	s := &stage{t: t, refused: make(chan refusedCaller, 64)}
-	s.sendTo(addrs...)
+func newTestRelay(t *testing.T, addrs ...string) *testRelay {
+	s := &testRelay{t: t, refused: make(chan refusedCaller, 64)}
+	s.setTargets(addrs...)
 	var err error
 	s.relay, err = NewRelay(0, func() []Target { return *s.targets.Load() }, func(fd int) {
-		waiting, open := hasBytes(fd)
+		waiting, open := peekBytes(fd)
 		_ = unix.Close(fd)
 		s.refused <- refusedCaller{unread: waiting, open: open}
 	})
@@ -40,13 +40,13 @@
 	t.Cleanup(s.relay.Close)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s.front = l.(*net.TCPListener)
+	s.listener = l.(*net.TCPListener)
 	t.Cleanup(func() { l.Close() })
 	go s.accept()
 	return s
 }
 
-func (s *stage) sendTo(addrs ...string) {
+func (s *testRelay) setTargets(addrs ...string) {
 	list := make([]Target, 0, len(addrs))
 	for _, addr := range addrs {
 		list = append(list, Target{Addr: addr})
@@ -54,10 +54,10 @@
 	s.targets.Store(&list)
 }
 
-// accept passes connections on, and closes those that aren't taken.
-func (s *stage) accept() {
+// accept hands connections over, and closes those that aren't accepted.
+func (s *testRelay) accept() {
 	for {
-		c, err := s.front.AcceptTCP()
+		c, err := s.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
@@ -72,28 +72,28 @@
 	}
 }
 
-func (s *stage) dial() net.Conn {
-	c, err := net.Dial("tcp", s.front.Addr().String())
+func (s *testRelay) dial() net.Conn {
+	c, err := net.Dial("tcp", s.listener.Addr().String())
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
-	require.NoError(s.t, c.SetDeadline(time.Now().Add(waits)))
+	require.NoError(s.t, c.SetDeadline(time.Now().Add(testTimeout)))
 	return c
 }
 
-// ended waits until nothing is passed on any more.
-func (s *stage) ended() {
-	require.Eventually(s.t, func() bool { return s.relay.Open() == 0 }, waits, time.Millisecond)
+// waitUntilIdle waits until no connection is relayed any more.
+func (s *testRelay) waitUntilIdle() {
+	require.Eventually(s.t, func() bool { return s.relay.Open() == 0 }, testTimeout, time.Millisecond)
 }
 
-// dead is an address at which nobody listens.
-func dead(t *testing.T) string {
+// unusedAddr returns an address on which nobody listens.
+func unusedAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	return l.Addr().String()
 }
 
-func router(t *testing.T, h http.HandlerFunc) string {
+func startRouter(t *testing.T, h http.HandlerFunc) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	t.Cleanup(s.CloseClientConnections)
--- a/pkg/handover/pair.go
+++ b/pkg/handover/pair.go
@@ -8,55 +8,58 @@
 	"github.com/flamingowind/flamingowind/internal/nowait"
 )
 
-// pair is a caller's connection and the one to the router that it is passed on to.
+// pair is a caller's connection and the one to the router that it is relayed to.
 type pair struct {
 	caller, peer int
 	target       string
-	// since is when the connection was taken, sought when the newest one to a router was begun.
-	since, sought time.Time
-	// tries counts the routers that were tried.
-	tries int
-	// connected is whether the router has taken the connection.
+	// acceptedAt is when the connection was accepted, connectStarted when the last connection
+	// attempt to a router started.
+	acceptedAt, connectStarted time.Time
+	// attempts counts the routers that were tried.
+	attempts int
+	// connected is whether the connection to the router is established.
 	connected bool
-	// begun is whether bytes of the request have gone to the router.
-	begun bool
-	// answered is whether bytes of an answer have come.
+	// requestSent is whether bytes of the request may have been sent to the router.
+	requestSent bool
+	// answered is whether bytes of an answer were received.
 	answered bool
-	// up holds what the router has not taken yet, down what the caller hasn't.
-	up, down []byte
-	// callerEnds and peerEnds are whether the kernel told of the end of what they send. It tells
-	// once, maybe together with the last bytes.
-	callerEnds, peerEnds bool
+	// pendingUp holds bytes that the router's socket has not accepted yet, pendingDown those for
+	// the caller's.
+	pendingUp, pendingDown []byte
+	// callerClosed and peerClosed are whether the kernel reported a hangup of that side. It reports
+	// it once, possibly together with the last bytes.
+	callerClosed, peerClosed bool
 }
 
-// notes keeps what an event says of the ends.
-func (p *pair) notes(e unix.EpollEvent) {
+// noteHangup records a hangup that an event reports.
+func (p *pair) noteHangup(e unix.EpollEvent) {
 	if e.Events&(unix.EPOLLRDHUP|unix.EPOLLHUP|unix.EPOLLERR) == 0 {
 		return
 	}
 	if int(e.Fd) == p.caller {
-		p.callerEnds = true
+		p.callerClosed = true
 	} else {
-		p.peerEnds = true
+		p.peerClosed = true
 	}
 }
 
-// flow is how a direction of a pair stands.
-type flow int
+// transferState is the state of one direction of a pair.
+type transferState int
 
 const (
-	// flowing: more may come.
-	flowing flow = iota
-	// closed: the sender has closed its side in order.
+	// flowing: more bytes may follow.
+	flowing transferState = iota
+	// closed: the sender has closed its side cleanly.
 	closed
-	// broken: one of the two connections is lost.
+	// broken: one of the two connections failed.
 	broken
 )
 
-// move copies what has come from one socket to the other, through buf. What the other doesn't
-// take at once is kept in rest, and nothing more is read until it is gone. Where the sender ends,
-// it reads up to the end; else a short read shows that no more has come.
-func move(from, to int, rest, buf []byte, ends bool) (left []byte, moved int, state flow) {
+// copyAvailable copies the available bytes from one socket to the other, through buf. Bytes that
+// the receiver doesn't accept at once are returned as left, to be passed as rest in the next call,
+// and nothing more is read until they are gone. If hungUp is set, it reads up to the end of the
+// stream; otherwise a short read means that nothing more has arrived.
+func copyAvailable(from, to int, rest, buf []byte, hungUp bool) (left []byte, moved int, state transferState) {
 	for {
 		if len(rest) > 0 {
 			n, ok := write(to, rest)
@@ -77,20 +80,21 @@
 			return nil, moved, closed
 		}
 		moved += n
-		taken, ok := write(to, buf[:n])
+		written, ok := write(to, buf[:n])
 		if !ok {
 			return nil, moved, broken
 		}
-		if taken < n {
-			return append([]byte(nil), buf[taken:n]...), moved, flowing
+		if written < n {
+			return append([]byte(nil), buf[written:n]...), moved, flowing
 		}
-		if n < len(buf) && !ends {
+		if n < len(buf) && !hungUp {
 			return nil, moved, flowing
 		}
 	}
 }
 
-// write gives a socket as much of data as it takes at once; ok is false when it is lost.
+// write writes as much of data as the socket accepts without blocking; ok is false when the
+// connection failed.
 func write(to int, data []byte) (n int, ok bool) {
 	n, err := nowait.Write(to, data)
 	if err == unix.EAGAIN || err == unix.EINTR {
@@ -99,8 +103,8 @@
 	return max(0, n), err == nil
 }
 
-// hasBytes reports whether bytes wait on a socket, and whether it is still open.
-func hasBytes(fd int) (waiting, open bool) {
+// peekBytes reports whether bytes can be read from a socket, and whether it is still open.
+func peekBytes(fd int) (waiting, open bool) {
 	var b [1]byte
 	n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	if err == unix.EAGAIN || err == unix.EINTR {
@@ -109,8 +113,8 @@
 	return n > 0, err == nil && n > 0
 }
 
-// failure is why a connection was lost; nil for none.
-func failure(fd int) error {
+// socketError returns the pending error of a socket; nil for none.
+func socketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil {
 		return err
@@ -121,9 +125,10 @@
 	return nil
 }
 
-// reset closes a connection so that what came before can't look complete.
-func reset(fd int) {
-	// Without the option the close is an ordinary one, of an answer whose length tells its end.
+// closeWithReset closes a connection with a reset, so that a truncated answer can't look complete.
+func closeWithReset(fd int) {
+	// If setting the option fails, the close is an ordinary one, and only the framing of the answer
+	// shows that it is truncated.
 	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	_ = unix.Close(fd)
 }
--- a/pkg/handover/relay.go
+++ b/pkg/handover/relay.go
@@ -12,99 +12,100 @@
 )
 
 const (
-	// lookEvery is the pause between two looks at the connections. An event of a stream is later
-	// by that at most, and what came meanwhile is passed on together.
-	lookEvery = 5 * time.Millisecond
-	// mostPairs bounds the connections, each of which takes two descriptors, and pairsPerCore
-	// those of a small host: their events take half of its processor.
-	mostPairs    = 1000
+	// pollInterval is the interval between two polls of the connections. It bounds the added
+	// latency of a stream's events, and what arrives meanwhile is relayed together.
+	pollInterval = 5 * time.Millisecond
+	// maxPairs bounds the connections, each of which takes two descriptors. pairsPerCore bounds
+	// those of a small host: handling their events takes half of its CPU.
+	maxPairs     = 1000
 	pairsPerCore = 2000
-	// longestLook bounds the pause between two looks that take long.
-	longestLook = 100 * time.Millisecond
-	// eventsAtOnce is the number of sockets that one system call tells of.
-	eventsAtOnce = 256
-	// bufferBytes is how much is copied at once; more than most requests have.
-	bufferBytes = 64 << 10
-	// connectWithin is how long a router may take to take a connection, mostTries how many are
-	// tried for one caller.
-	connectWithin = 300 * time.Millisecond
-	mostTries     = 3
-	// requestWithin is how long a caller may take to send the beginning of its request.
-	requestWithin = 10 * time.Second
-	// sweepEvery is the pause between two looks for what takes too long.
-	sweepEvery = 100 * time.Millisecond
+	// maxPollInterval bounds the interval between two polls that take long.
+	maxPollInterval = 100 * time.Millisecond
+	// maxEvents is the number of events returned by one system call.
+	maxEvents = 256
+	// bufferSize is the size of one read; more than most requests have.
+	bufferSize = 64 << 10
+	// connectTimeout is how long a router may take to accept a connection, maxAttempts the number
+	// of routers that are tried for one caller.
+	connectTimeout = 300 * time.Millisecond
+	maxAttempts    = 3
+	// requestTimeout is how long a caller may take to send the first bytes of its request.
+	requestTimeout = 10 * time.Second
+	// sweepInterval is the interval of checks for timeouts.
+	sweepInterval = 100 * time.Millisecond
 )
 
-// Relay passes connections on.
+// Relay relays callers' connections to other routers.
 type Relay struct {
-	// targets gives the routers that take connections now.
+	// targets returns the routers that accept connections now.
 	targets func() []Target
-	// refuse takes a connection that no router took; nothing of its request was read.
+	// refuse takes over a connection that no router accepted; nothing of its request was read.
 	refuse func(fd int)
 	epoll  int
-	// most bounds the connections.
-	most int
+	// limit is the maximum number of connections.
+	limit int
 
-	// taken counts connections, failed those that no router took.
-	taken, failed atomic.Int64
-	// meter counts what is passed on, once as it comes and once as it goes.
+	// accepted counts connections, failed those of them that no router accepted.
+	accepted, failed atomic.Int64
+	// meter counts relayed bytes, once when received and once when sent.
 	meter traffic.Meter
 
 	mu sync.Mutex
-	// pairs are found by the descriptors of both connections.
+	// pairs holds each pair under the descriptors of both of its sockets.
 	pairs map[int32]*pair
-	// accounts are by router's address.
-	accounts map[string]*account
-	// floor is the newest configuration of a router that connections were passed on to.
-	floor  int64
-	buf    []byte
-	events []unix.EpollEvent
-	// drained are the events of the newest look.
-	drained []pairEvent
-	looking bool
-	ended   bool
-	// took is how long the newest look took: where the processor is scarce, more is moved at once.
-	took time.Duration
-	// swept is when the newest look for what takes too long was.
-	swept time.Time
+	// targetStates is keyed by the router's address.
+	targetStates map[string]*targetState
+	// minConfig is the newest configuration version of any router that connections were relayed to.
+	minConfig int64
+	buf       []byte
+	events    []unix.EpollEvent
+	// drained holds the events of the current poll.
+	drained       []pairEvent
+	pollScheduled bool
+	isClosed      bool
+	// lastPollTime is how long the last poll took: when CPU is scarce, polls are spaced out so that
+	// each moves more.
+	lastPollTime time.Duration
+	// lastSweep is when timeouts were last checked.
+	lastSweep time.Time
 }
 
-// NewRelay returns a relay to targets, for a host that gives the process that many cores; 0 when
-// that isn't known. refuse takes the sockets of callers that no router took.
+// NewRelay returns a relay to targets, for a host that gives the process the given number of cores;
+// 0 means unknown. refuse takes over the sockets of callers that no router accepted.
 func NewRelay(cores float64, targets func() []Target, refuse func(fd int)) (*Relay, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return &Relay{most: pairsFor(cores), targets: targets, refuse: refuse, epoll: epoll, pairs: make(map[int32]*pair), accounts: make(map[string]*account)}, nil
+	return &Relay{limit: maxPairsFor(cores), targets: targets, refuse: refuse, epoll: epoll, pairs: make(map[int32]*pair), targetStates: make(map[string]*targetState)}, nil
 }
 
-// Traffic is what was passed on so far.
+// Traffic returns the bytes relayed so far.
 func (r *Relay) Traffic() traffic.Bytes { return r.meter.Total() }
 
-// Take passes on a caller's connection of which nothing was read, and that nobody else uses. It
-// reports false when it doesn't, and leaves the connection alone then.
+// HandOver relays a caller's connection of which nothing was read, and takes ownership of its
+// descriptor. It returns false when it can't, and then leaves the connection untouched.
 func (r *Relay) Take(fd int, now time.Time) bool {
-	waiting, open := hasBytes(fd)
+	waiting, open := peekBytes(fd)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ended || !open || len(r.pairs) >= 2*r.most {
+	if r.isClosed || !open || len(r.pairs) >= 2*r.limit {
 		return false
 	}
-	p := &pair{caller: fd, peer: -1, since: now}
-	if waiting && !r.seek(p, now) || !waiting && len(r.eligible("", now)) == 0 {
+	p := &pair{caller: fd, peer: -1, acceptedAt: now}
+	if waiting && !r.connectPeer(p, now) || !waiting && len(r.eligible("", now)) == 0 {
 		return false
 	}
 	if !r.watch(fd, p) {
-		r.drop(p)
+		r.forget(p)
 		return false
 	}
-	r.taken.Add(1)
-	r.schedule()
+	r.accepted.Add(1)
+	r.schedulePoll()
 	return true
 }
 
-// watch has the kernel tell of what happens to a socket.
+// watch registers a socket with epoll and records its pair.
 func (r *Relay) watch(fd int, p *pair) bool {
 	want := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET, Fd: int32(fd)}
 	if unix.EpollCtl(r.epoll, unix.EPOLL_CTL_ADD, fd, &want) != nil {
@@ -114,180 +115,181 @@
 	return true
 }
 
-// drop forgets p and closes its connection to a router.
-func (r *Relay) drop(p *pair) {
+// forget removes p and closes its connection to a router.
+func (r *Relay) forget(p *pair) {
 	delete(r.pairs, int32(p.caller))
-	r.leavePeer(p)
+	r.closePeer(p)
 }
 
-func (r *Relay) leavePeer(p *pair) {
+func (r *Relay) closePeer(p *pair) {
 	if p.peer < 0 {
 		return
 	}
 	delete(r.pairs, int32(p.peer))
-	if a := r.account(p.target); a.open <= 1 {
-		delete(r.accounts, p.target)
+	if a := r.stateOf(p.target); a.openConns <= 1 {
+		delete(r.targetStates, p.target)
 	} else {
-		a.open--
+		a.openConns--
 	}
 	_ = unix.Close(p.peer)
 	p.peer = -1
 }
 
-// end closes both connections; broken makes the caller see that the answer is not whole.
-func (r *Relay) end(p *pair, state flow) {
-	r.drop(p)
+// finish closes both connections. For broken the caller's connection is reset, which shows that the
+// answer is truncated.
+func (r *Relay) finish(p *pair, state transferState) {
+	r.forget(p)
 	if state == broken {
-		reset(p.caller)
+		closeWithReset(p.caller)
 		return
 	}
 	_ = unix.Close(p.caller)
 }
 
-// schedule has the connections looked at after a while.
-func (r *Relay) schedule() {
-	if r.looking || len(r.pairs) == 0 {
+// schedulePoll schedules a poll if connections are open.
+func (r *Relay) schedulePoll() {
+	if r.pollScheduled || len(r.pairs) == 0 {
 		return
 	}
-	r.looking = true
-	time.AfterFunc(max(lookEvery, min(longestLook, r.took)), r.look)
+	r.pollScheduled = true
+	time.AfterFunc(max(pollInterval, min(maxPollInterval, r.lastPollTime)), r.poll)
 }
 
-// look moves what has come on all connections.
-func (r *Relay) look() {
+// poll handles all pending events and expired timeouts.
+func (r *Relay) poll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	began := time.Now()
 	if r.buf == nil {
-		r.buf, r.events = make([]byte, bufferBytes), make([]unix.EpollEvent, eventsAtOnce)
+		r.buf, r.events = make([]byte, bufferSize), make([]unix.EpollEvent, maxEvents)
 	}
 	for _, e := range r.drainEvents() {
 		if r.pairs[e.event.Fd] == e.pair {
-			r.step(e.pair, e.event, time.Now())
+			r.handleEvent(e.pair, e.event, time.Now())
 		}
 	}
 	now := time.Now()
-	if now.Sub(r.swept) >= sweepEvery {
-		r.swept = now
+	if now.Sub(r.lastSweep) >= sweepInterval {
+		r.lastSweep = now
 		r.sweep(now)
 	}
-	r.took = now.Sub(began)
-	r.looking = false
-	r.schedule()
+	r.lastPollTime = now.Sub(began)
+	r.pollScheduled = false
+	r.schedulePoll()
 }
 
-// step goes on with p after something happened to one of its sockets.
-func (r *Relay) step(p *pair, e unix.EpollEvent, now time.Time) {
+// handleEvent continues p after an event on one of its sockets.
+func (r *Relay) handleEvent(p *pair, e unix.EpollEvent, now time.Time) {
 	if p.peer < 0 {
-		r.begin(p, now)
+		r.connectOnRequest(p, now)
 		return
 	}
 	if !p.connected {
-		r.connecting(p, e, now)
+		r.checkConnect(p, e, now)
 		return
 	}
-	r.pump(p, now)
+	r.transfer(p, now)
 }
 
-// begin seeks a router once the caller has sent something.
-func (r *Relay) begin(p *pair, now time.Time) {
-	waiting, open := hasBytes(p.caller)
+// connectOnRequest connects to a router once the caller has sent bytes.
+func (r *Relay) connectOnRequest(p *pair, now time.Time) {
+	waiting, open := peekBytes(p.caller)
 	switch {
 	case !open:
-		r.end(p, closed)
-	case waiting && !r.seek(p, now):
-		r.giveBack(p)
+		r.finish(p, closed)
+	case waiting && !r.connectPeer(p, now):
+		r.refuseCaller(p)
 	}
 }
 
-// connecting notes whether a router has taken the connection.
-func (r *Relay) connecting(p *pair, e unix.EpollEvent, now time.Time) {
+// checkConnect checks whether the connection to the router is established or has failed.
+func (r *Relay) checkConnect(p *pair, e unix.EpollEvent, now time.Time) {
 	if int(e.Fd) != p.peer {
-		if _, open := hasBytes(p.caller); !open {
-			r.end(p, closed) // its caller is gone
+		if _, open := peekBytes(p.caller); !open {
+			r.finish(p, closed) // the caller has disconnected
 		}
 		return
 	}
-	if e.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 || failure(p.peer) != nil {
-		r.another(p, now)
+	if e.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 || socketError(p.peer) != nil {
+		r.retryConnect(p, now)
 		return
 	}
 	if e.Events&unix.EPOLLOUT != 0 {
 		p.connected = true
-		r.pump(p, now)
+		r.transfer(p, now)
 	}
 }
 
-// another seeks a further router, as the one before took nothing.
-func (r *Relay) another(p *pair, now time.Time) {
-	r.leavePeer(p)
-	p.peerEnds = false
-	if !r.seek(p, now) {
-		r.giveBack(p)
+// retryConnect connects to another router after a failed attempt; nothing was sent on it.
+func (r *Relay) retryConnect(p *pair, now time.Time) {
+	r.closePeer(p)
+	p.peerClosed = false
+	if !r.connectPeer(p, now) {
+		r.refuseCaller(p)
 	}
 }
 
-// giveBack leaves the caller to the refuser: nothing of its request was read.
-func (r *Relay) giveBack(p *pair) {
+// refuseCaller leaves the caller to refuse: nothing of its request was read.
+func (r *Relay) refuseCaller(p *pair) {
 	r.failed.Add(1)
-	r.drop(p)
-	// The refuser closes the socket; the kernel forgets it then.
+	r.forget(p)
+	// An error can be ignored: the kernel removes the socket from epoll once it is closed.
 	_ = unix.EpollCtl(r.epoll, unix.EPOLL_CTL_DEL, p.caller, nil)
 	r.refuse(p.caller)
 }
 
-// pump moves what has come both ways.
-func (r *Relay) pump(p *pair, now time.Time) {
-	if !p.begun && p.callerEnds {
-		r.end(p, closed)
+// transfer copies the available bytes in both directions.
+func (r *Relay) transfer(p *pair, now time.Time) {
+	if !p.requestSent && p.callerClosed {
+		r.finish(p, closed)
 		return
 	}
-	p.begun = true
-	var state flow
+	p.requestSent = true
+	var state transferState
 	var sent, moved int
-	if p.up, sent, state = move(p.caller, p.peer, p.up, r.buf, p.callerEnds); state != flowing {
-		r.end(p, state) // its caller is gone, or the router is lost
+	if p.pendingUp, sent, state = copyAvailable(p.caller, p.peer, p.pendingUp, r.buf, p.callerClosed); state != flowing {
+		r.finish(p, state) // the caller has disconnected, or the router failed
 		return
 	}
-	p.down, moved, state = move(p.peer, p.caller, p.down, r.buf, p.peerEnds)
+	p.pendingDown, moved, state = copyAvailable(p.peer, p.caller, p.pendingDown, r.buf, p.peerClosed)
 	p.answered = p.answered || moved > 0
-	r.accounts[p.target].moved(sent, moved, now)
+	r.targetStates[p.target].recordTransfer(sent, moved, now)
 	r.meter.Received(sent + moved)
 	r.meter.Sent(sent + moved)
 	switch {
 	case state == broken:
-		r.end(p, broken)
+		r.finish(p, broken)
 	case state == closed && !p.answered:
-		r.end(p, broken) // the request may have run
+		r.finish(p, broken) // the request may have run
 	case state == closed:
-		r.end(p, closed)
+		r.finish(p, closed)
 	}
 }
 
-// sweep ends what takes too long to begin.
+// sweep ends connections whose timeout has expired.
 func (r *Relay) sweep(now time.Time) {
 	for fd, p := range r.pairs {
 		switch {
 		case int(fd) != p.caller:
-		case p.connected && r.accounts[p.target].silent(lostAfter, now):
-			r.end(p, broken)
+		case p.connected && r.targetStates[p.target].unresponsive(abandonAfter, now):
+			r.finish(p, broken)
 		case p.connected:
-		case p.peer < 0 && now.Sub(p.since) >= requestWithin:
-			r.end(p, closed)
-		case p.peer >= 0 && now.Sub(p.sought) >= connectWithin:
-			r.another(p, now)
+		case p.peer < 0 && now.Sub(p.acceptedAt) >= requestTimeout:
+			r.finish(p, closed)
+		case p.peer >= 0 && now.Sub(p.connectStarted) >= connectTimeout:
+			r.retryConnect(p, now)
 		}
 	}
 }
 
-// Close breaks off all connections and takes no more.
+// Close resets all connections and accepts no more.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = true
+	r.isClosed = true
 	for fd, p := range r.pairs {
 		if int(fd) == p.caller {
-			r.end(p, broken)
+			r.finish(p, broken)
 		}
 	}
 	_ = unix.Close(r.epoll)
--- a/pkg/handover/relay_test.go
+++ b/pkg/handover/relay_test.go
@@ -19,11 +19,11 @@
 	"github.com/flamingowind/flamingowind/internal/nowait"
 )
 
-// Guards against requests and answers that lose bytes on the way, large ones too, which no
-// socket takes at once.
-func TestWhatIsPassedOnStaysWhole(t *testing.T) {
+// Guards against requests and answers that lose bytes on the way, especially large ones, which no
+// socket accepts at once.
+func TestRelayedBytesAreComplete(t *testing.T) {
 	const size = 8 << 20
-	addr := router(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
 		data, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -31,11 +31,11 @@
 		}
 		_, _ = w.Write(data) // the caller counts the bytes
 	})
-	s := newStage(t, addr)
+	s := newTestRelay(t, addr)
 	body := strings.Repeat("0123456789abcdef", size/16)
-	client := &http.Client{Timeout: waits, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 3 {
-		req, err := http.NewRequest(http.MethodPost, "http://"+s.front.Addr().String()+"/echo", strings.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "http://"+s.listener.Addr().String()+"/echo", strings.NewReader(body))
 		require.NoError(t, err)
 		resp, err := client.Do(req)
 		require.NoError(t, err)
@@ -44,26 +44,27 @@
 		resp.Body.Close()
 		require.True(t, string(data) == body, "%d bytes of %d", len(data), len(body))
 	}
-	s.ended()
+	s.waitUntilIdle()
 }
 
-// Guards against a router that is gone just now: nothing was sent to it, so another one is tried,
-// and who finds none is refused with its request unread.
-func TestARouterThatIsGoneCostsNoRequest(t *testing.T) {
-	addr := router(t, func(w http.ResponseWriter, _ *http.Request) {
+// Guards against requests that are lost because a router has just become unreachable: nothing was
+// sent to it, so another one is tried, and if there is none the caller is refused with its request
+// unread.
+func TestUnreachableRouterLosesNoRequest(t *testing.T) {
+	addr := startRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 		io.WriteString(w, "served")
 	})
-	s := newStage(t, dead(t))
+	s := newTestRelay(t, unusedAddr(t))
 	c := s.dial()
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	select {
 	case one := <-s.refused:
 		require.Equal(t, refusedCaller{unread: true, open: true}, one)
-	case <-time.After(waits):
-		t.Fatal("nobody refused it")
+	case <-time.After(testTimeout):
+		t.Fatal("the connection was not refused")
 	}
-	s.sendTo(dead(t), addr)
+	s.setTargets(unusedAddr(t), addr)
 	for range 20 {
 		c := s.dial()
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -71,22 +72,22 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, resp.StatusCode)
 	}
-	s.ended()
+	s.waitUntilIdle()
 	require.Empty(t, s.refused)
 }
 
-// Guards against an answer that looks complete though the router that made it was lost.
-func TestAnAnswerThatBreaksOffDoesNotLookComplete(t *testing.T) {
+// Guards against a truncated answer that looks complete after its router failed.
+func TestTruncatedAnswerDoesNotLookComplete(t *testing.T) {
 	for name, sent := range map[string]string{"before the head": "", "in the body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345"} {
 		t.Run(name, func(t *testing.T) {
-			addr := router(t, func(w http.ResponseWriter, _ *http.Request) {
+			addr := startRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 				c, _, err := w.(http.Hijacker).Hijack()
 				if err == nil {
 					io.WriteString(c, sent)
 					c.Close()
 				}
 			})
-			s := newStage(t, addr)
+			s := newTestRelay(t, addr)
 			c := s.dial()
 			io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -94,19 +95,19 @@
 				_, err = io.ReadAll(resp.Body)
 			}
 			require.Error(t, err)
-			s.ended()
+			s.waitUntilIdle()
 		})
 	}
 }
 
-// Guards against a reset that reaches a caller as a close, which ends an answer without framing: with
-// HTTP/1.0 as if it were complete.
-func TestAResetGoesOnAsAResetAndACloseAsAClose(t *testing.T) {
+// Guards against a reset that reaches the caller as a close, which ends an answer without framing
+// (HTTP/1.0) as if it were complete.
+func TestResetAndCloseAreRelayedAsSuch(t *testing.T) {
 	const answer = "HTTP/1.0 200 OK\r\n\r\nid: 1\ndata: a\n\n"
 	for name, reset := range map[string]bool{"reset": true, "close": false} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan struct{})
-			addr := router(t, func(w http.ResponseWriter, _ *http.Request) {
+			addr := startRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 				c, _, err := w.(http.Hijacker).Hijack()
 				if err != nil {
 					return
@@ -118,7 +119,7 @@
 				}
 				c.Close()
 			})
-			s := newStage(t, addr)
+			s := newTestRelay(t, addr)
 			c := s.dial()
 			io.WriteString(c, "GET / HTTP/1.0\r\nHost: h\r\n\r\n")
 			_, err := io.ReadFull(c, make([]byte, len(answer)))
@@ -130,37 +131,37 @@
 			} else {
 				require.NoError(t, err)
 			}
-			s.ended()
+			s.waitUntilIdle()
 		})
 	}
 }
 
-// Guards against work that goes on at another router for a caller that has left.
-func TestTheOtherRouterHearsOfACallerThatLeft(t *testing.T) {
+// Guards against another router that goes on with a request whose caller has disconnected.
+func TestCallerDisconnectReachesTheOtherRouter(t *testing.T) {
 	began, left := make(chan struct{}), make(chan struct{})
-	addr := router(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := startRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, "data: 1\n\n")
 		w.(http.Flusher).Flush()
 		close(began)
 		<-r.Context().Done()
 		close(left)
 	})
-	s := newStage(t, addr)
+	s := newTestRelay(t, addr)
 	c := s.dial()
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-began
 	c.Close()
 	select {
 	case <-left:
-	case <-time.After(waits):
-		t.Fatal("the router still works for it")
+	case <-time.After(testTimeout):
+		t.Fatal("the request is still running at the router")
 	}
-	s.ended()
+	s.waitUntilIdle()
 }
 
-// Guards against connections without a request that other routers hold descriptors for: they are
-// passed on once their request comes.
-func TestAConnectionWithoutARequestIsNotPassedOnYet(t *testing.T) {
+// Guards against idle connections that use descriptors at other routers: a connection is relayed
+// only once its request arrives.
+func TestConnectionIsRelayedOnlyAfterItsRequestArrives(t *testing.T) {
 	var conns atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -172,46 +173,45 @@
 	}
 	server.Start()
 	t.Cleanup(server.Close)
-	s := newStage(t, server.Listener.Addr().String())
+	s := newTestRelay(t, server.Listener.Addr().String())
 	c := s.dial()
-	require.Eventually(t, func() bool { return s.relay.Open() == 1 }, waits, time.Millisecond)
+	require.Eventually(t, func() bool { return s.relay.Open() == 1 }, testTimeout, time.Millisecond)
 	require.Zero(t, conns.Load())
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	_, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	require.EqualValues(t, 1, conns.Load())
-	s.ended()
+	s.waitUntilIdle()
 }
 
-// Guards against targets that can't be: they are passed over, and what is left takes over.
-func TestAddressesThatCannotBeAreRefused(t *testing.T) {
+// Guards against invalid target addresses: they are skipped, and the next target is used.
+func TestInvalidAddressesAreRejected(t *testing.T) {
 	for _, addr := range []string{"", "nobody", "127.0.0.1", "[::1]:80", "127.0.0.1:99999"} {
 		_, err := sockaddr(addr)
 		require.Error(t, err, addr)
 	}
-	s := newStage(t, "nobody")
+	s := newTestRelay(t, "nobody")
 	c := s.dial()
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	_, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.Error(t, err)
 }
 
-// Guards against connections that go on to a router that stands still, and counts as alive for a
-// while.
-func TestARouterThatIsSilentGetsNoMore(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and reads nothing
+// Guards against connections that are relayed to a router that hangs but still counts as alive.
+func TestUnresponsiveRouterGetsNoNewConnections(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and reads nothing
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := newStage(t, l.Addr().String())
+	s := newTestRelay(t, l.Addr().String())
 	stuck := s.dial()
 	io.WriteString(stuck, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.Eventually(t, func() bool {
 		s.relay.mu.Lock()
 		defer s.relay.mu.Unlock()
-		return s.relay.accounts[l.Addr().String()].silent(quietAfter, time.Now())
-	}, waits, time.Millisecond)
-	addr := router(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
-	s.sendTo(l.Addr().String(), addr)
+		return s.relay.targetStates[l.Addr().String()].unresponsive(unresponsiveAfter, time.Now())
+	}, testTimeout, time.Millisecond)
+	addr := startRouter(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") })
+	s.setTargets(l.Addr().String(), addr)
 	for range 20 {
 		c := s.dial()
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -220,39 +220,40 @@
 	}
 }
 
-// Guards against a caller that sees a new configuration and then the one before, as its
+// Guards against a caller that sees a new configuration and then the previous one, because its
 // connections went to two routers.
-func TestConnectionsNeverGoBackToAnOlderConfiguration(t *testing.T) {
-	s := newStage(t)
+func TestRelayNeverReturnsToAnOlderConfiguration(t *testing.T) {
+	s := newTestRelay(t)
 	newer, older := Target{Addr: "127.0.0.1:1", Config: 5}, Target{Addr: "127.0.0.1:2", Config: 4}
 	now := time.Now()
 	s.targets.Store(&[]Target{newer, older})
 	require.Len(t, s.relay.eligible("", now), 2)
-	s.relay.floor = 5
+	s.relay.minConfig = 5
 	require.Equal(t, []Target{newer}, s.relay.eligible("", now))
 	require.Empty(t, s.relay.eligible(newer.Addr, now))
 }
 
-// Guards against a router that is taken for silent while it answers others, or with nothing asked.
-func TestARouterIsSilentOnlyWhileItOwesBytes(t *testing.T) {
+// Guards against a router that is taken for unresponsive while it answers on other connections, or
+// while nothing is awaited.
+func TestRouterIsUnresponsiveOnlyWhileBytesAreAwaited(t *testing.T) {
 	now := time.Now()
-	var nobody *account
-	require.False(t, nobody.silent(quietAfter, now))
-	a := &account{open: 2}
-	require.False(t, a.silent(quietAfter, now))
-	a.moved(100, 0, now)
-	a.moved(100, 0, now.Add(quietAfter))
-	require.True(t, a.silent(quietAfter, now.Add(quietAfter)), "since the first bytes")
-	a.moved(0, 1, now.Add(quietAfter))
-	require.False(t, a.silent(quietAfter, now.Add(time.Hour)))
+	var none *targetState
+	require.False(t, none.unresponsive(unresponsiveAfter, now))
+	a := &targetState{openConns: 2}
+	require.False(t, a.unresponsive(unresponsiveAfter, now))
+	a.recordTransfer(100, 0, now)
+	a.recordTransfer(100, 0, now.Add(unresponsiveAfter))
+	require.True(t, a.unresponsive(unresponsiveAfter, now.Add(unresponsiveAfter)), "counted from the first bytes")
+	a.recordTransfer(0, 1, now.Add(unresponsiveAfter))
+	require.False(t, a.unresponsive(unresponsiveAfter, now.Add(time.Hour)))
 }
 
-// Guards against work at another router for a caller that left before its request was passed on, as
-// this router waited for the processor.
-func TestARequestWhoseCallerHasLeftIsNotPassedOn(t *testing.T) {
+// Guards against a request that is relayed although its caller disconnected while this router
+// waited for the CPU.
+func TestRequestOfDisconnectedCallerIsNotRelayed(t *testing.T) {
 	var requests atomic.Int64
-	addr := router(t, func(http.ResponseWriter, *http.Request) { requests.Add(1) })
-	s := newStage(t)
+	addr := startRouter(t, func(http.ResponseWriter, *http.Request) { requests.Add(1) })
+	s := newTestRelay(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -268,11 +269,11 @@
 	require.NoError(t, unix.SetNonblock(fd, true))
 	file.Close()
 	c.Close()
-	s.sendTo(addr)
+	s.setTargets(addr)
 	caller.Close()
-	require.Eventually(t, func() bool { return nowait.Poll(int32(fd), unix.POLLRDHUP) != 0 }, waits, time.Millisecond)
+	require.Eventually(t, func() bool { return nowait.Poll(int32(fd), unix.POLLRDHUP) != 0 }, testTimeout, time.Millisecond)
 	if s.relay.Take(fd, time.Now()) {
-		s.ended()
+		s.waitUntilIdle()
 	}
 	require.Zero(t, requests.Load())
 }
--- a/pkg/handover/target.go
+++ b/pkg/handover/target.go
@@ -7,30 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Target is a router that takes connections.
+// Target is a router that accepts handed-over connections.
 type Target struct {
-	// Addr is IP:port.
+	// Addr is the router's address as IP:port.
 	Addr string
-	// Power is its processor, in cores; 0 when it doesn't say.
+	// Cores is the number of CPU cores of the router; 0 when it doesn't report it.
 	Power float64
-	// Config is the version of its configuration.
+	// Config is the version of the router's configuration.
 	Config int64
 }
 
-// sockaddr gives the socket address of IP:port. Only IPv4 is taken.
+// sockaddr parses IP:port into a socket address. Only IPv4 is supported.
 func sockaddr(addr string) (*unix.SockaddrInet4, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	if !at.Addr().Is4() {
-		return nil, errors.Errorf("%s is no IPv4 address", addr)
+		return nil, errors.Errorf("%s is not an IPv4 address", addr)
 	}
 	return &unix.SockaddrInet4{Addr: at.Addr().As4(), Port: int(at.Port())}, nil
 }
 
-// connect begins a connection to addr that doesn't block.
-func connect(addr string) (fd int, err error) {
+// startConnect starts a non-blocking connection to addr.
+func startConnect(addr string) (fd int, err error) {
 	to, err := sockaddr(addr)
 	if err != nil {
 		return -1, err
@@ -39,7 +39,7 @@
 	if err != nil {
 		return -1, errors.Trace(err)
 	}
-	if err := prepare(fd); err != nil {
+	if err := setSocketOptions(fd); err != nil {
 		_ = unix.Close(fd) // nothing was sent
 		return -1, errors.Trace(err)
 	}
@@ -50,12 +50,12 @@
 	return fd, nil
 }
 
-// silentMillis ends a connection whose sent bytes nobody acknowledged for that long.
-const silentMillis = 2500
+// ackTimeoutMillis is how long sent bytes may stay unacknowledged before the connection fails.
+const ackTimeoutMillis = 2500
 
-func prepare(fd int) error {
+func setSocketOptions(fd int) error {
 	if err := unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1); err != nil {
 		return err
 	}
-	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, silentMillis)
+	return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, ackTimeoutMillis)
 }
--- a/pkg/handover/target_test.go
+++ b/pkg/handover/target_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an address told by a peer that is taken for another one, or ends the router.
+// Guards against a malformed address reported by a peer that is taken for another address, or that
+// crashes the router.
 func FuzzSockaddr(f *testing.F) {
 	for _, addr := range []string{"10.0.0.1:8783", "", "10.0.0.1", "[::1]:80", "[::ffff:10.0.0.1]:80", "10.0.0.1:99999", "host:80"} {
 		f.Add(addr)
--- a/pkg/handover/targetstate.go
+++ b/pkg/handover/targetstate.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// quietAfter is how long a router may leave all its connections without a byte before it
-	// takes no more, lostAfter how long before they are given up.
-	quietAfter = 250 * time.Millisecond
-	lostAfter  = 3 * time.Second
+	// unresponsiveAfter is how long a router may send nothing on any of its connections before it
+	// gets no new ones, abandonAfter how long before its connections are closed.
+	unresponsiveAfter = 250 * time.Millisecond
+	abandonAfter      = 3 * time.Second
 )
 
-// account is what a relay knows of a router that takes connections.
-type account struct {
-	// open is the number of connections that it has from here.
-	open int
-	// owes is since when it was sent bytes without sending any; zero when it did.
-	owes time.Time
+// targetState is what a relay knows about a router that it hands connections over to.
+type targetState struct {
+	// openConns is the number of connections from this relay to the router.
+	openConns int
+	// awaitingSince is the time of the first bytes sent to the router since it last sent any; zero
+	// when nothing is awaited.
+	awaitingSince time.Time
 }
 
-// silent reports whether the router has sent nothing for that long though it was asked.
+// unresponsive reports whether the router has sent nothing for the given time although it was sent
+// bytes.
 //
-// Guard: a router that freezes or is cut off counts as alive for a second. What is passed on to it
-// meanwhile waits for nobody.
-func (a *account) silent(after time.Duration, now time.Time) bool {
-	return a != nil && a.open > 0 && !a.owes.IsZero() && now.Sub(a.owes) >= after
+// A router that hangs or is partitioned counts as alive for about a second, and whatever is handed
+// over to it meanwhile waits in vain.
+func (s *targetState) unresponsive(after time.Duration, now time.Time) bool {
+	return s != nil && s.openConns > 0 && !s.awaitingSince.IsZero() && now.Sub(s.awaitingSince) >= after
 }
 
-// moved notes bytes to the router and from it.
-func (a *account) moved(up, down int, now time.Time) {
+// recordTransfer records bytes sent to the router (up) and received from it (down).
+func (s *targetState) recordTransfer(up, down int, now time.Time) {
 	switch {
-	case a == nil:
+	case s == nil:
 	case down > 0:
-		a.owes = time.Time{}
-	case up > 0 && a.owes.IsZero():
-		a.owes = now
+		s.awaitingSince = time.Time{}
+	case up > 0 && s.awaitingSince.IsZero():
+		s.awaitingSince = now
 	}
 }
