--- a/pkg/admission/caller_test.go
+++ b/pkg/admission/caller_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// requestStatus sends a request on a new connection and returns the status of the answer; 0 when
+// requestStatus sends a request on a new connection and returns the status of the response; 0 when
 // the connection was closed without one. connected, if not nil, is called once the connection is
 // open.
 func requestStatus(t *testing.T, addr string, connected func()) int {
--- a/pkg/admission/handover.go
+++ b/pkg/admission/handover.go
@@ -10,8 +10,8 @@
 // SetHandover sets the function that hands connections over to other routers. It is tried before
 // admission while handoverOn returns true, and otherwise before a connection is shed. It must be
 // called before the first Accept.
-func (l *Listener) PassOn(passOn func(fd int, now time.Time) bool, passes func() bool) {
-	l.handOver, l.handoverOn = passOn, passes
+func (l *Listener) PassOn(handOver func(fd int, now time.Time) bool, handoverOn func() bool) {
+	l.handOver, l.handoverOn = handOver, handoverOn
 }
 
 // Refuse refuses a connection of which nothing was read, or closes it when the CPU budget is used
--- a/pkg/admission/idle_test.go
+++ b/pkg/admission/idle_test.go
@@ -10,7 +10,7 @@
 // Guards against an overloaded router under a CPU quota that takes itself for idle: it is stalled
 // for 90 ms in each tenth of a second, and when that happened while it waited for a connection it
 // forgot its last slow round, although many callers had arrived. It then shed nobody until the next
-// slow round, and more than half of the callers in a second got no answer.
+// slow round, and more than half of the callers in a second got no response.
 func TestStalledProcessIsNotIdle(t *testing.T) {
 	l := newTestListener(t, 0)
 	defer l.Close()
@@ -29,7 +29,7 @@
 
 // Guards against rounds that double from an idle moment on: an overloaded router under a CPU quota
 // catches up in its time slice, and then admitted 32, 64, 128 and 256 connections in that slice.
-// Reading them took a second, in which 853 of 973 callers got no answer.
+// Reading them took a second, in which 853 of 973 callers got no response.
 func TestIdleMomentDoesNotEndOverload(t *testing.T) {
 	r := rounds{size: initialRoundSize}
 	r.startNext(slowRound+time.Millisecond, start)
--- a/pkg/admission/link.go
+++ b/pkg/admission/link.go
@@ -19,8 +19,8 @@
 	linkPollInterval  = 5 * time.Millisecond
 	// maxAdmissionPause is the longest pause of admission.
 	maxAdmissionPause = 500 * time.Millisecond
-	// firstFlight is what a caller sends before it gets an answer. maxUnreadTime bounds unread data
-	// in the backlog, as the time in which the link carries it.
+	// firstFlight is what a caller sends before it gets a response. maxUnreadTime bounds unread
+	// data in the backlog, as the time in which the link carries it.
 	firstFlight   = 16 << 10
 	maxUnreadTime = 250 * time.Millisecond
 	// minBacklog and maxBacklog bound the connections that wait to be accepted.
--- a/pkg/admission/listener.go
+++ b/pkg/admission/listener.go
@@ -52,8 +52,8 @@
 	handoverOn func() bool
 	// meter counts the bytes of all connections, refused ones included.
 	meter traffic.Meter
-	// admittedCount counts admitted connections, closedCount those that were closed without an
-	// answer.
+	// admittedCount counts admitted connections, closedCount those that were closed without a
+	// response.
 	admittedCount atomic.Int64
 	closedCount   atomic.Int64
 	// link is nil when its speed isn't known, isClosed is set once the listener is closed.
@@ -67,7 +67,7 @@
 }
 
 // New returns a listener that admits connections from tcp, on a host that gives the process the
-// given number of cores; 0 means unknown. refusal returns the complete answer to a refused
+// given number of cores; 0 means unknown. refusal returns the complete response to a refused
 // connection, with the time after which its caller should retry.
 func New(tcp *net.TCPListener, cores float64, refusal func(after time.Duration) []byte) (*Listener, error) {
 	raw, err := tcp.SyscallConn()
@@ -184,7 +184,7 @@
 //
 // A process that is stalled, as under a CPU quota, seems to have waited for a connection all that
 // time although many arrived. Taken for idle, the router forgets that it is overloaded, slow rounds
-// shed no connections, and many callers get no answer.
+// shed no connections, and many callers get no response.
 func (l *Listener) hasPending() bool {
 	pending := false
 	// Control fails only on a closed listener, which Accept reports.
@@ -237,13 +237,13 @@
 // turns false, and returns its socket, negative for none, and whether the listener is open.
 //
 // Left in the kernel's backlog, connections are old before they are accepted, and their callers
-// wait for seconds without an answer. An immediate close tells them that nothing was read, but not
+// wait for seconds without a response. An immediate close tells them that nothing was read, but not
 // when to retry: they retry at once, so refusals come first.
 func (l *Listener) shedPending(shouldShed func() bool) (first int, open bool) {
 	began := l.now()
 	l.refuser.observeCPU(began)
 	batch := l.refuser.startBatch()
-	answered, closed := 0, 0
+	refused, closed := 0, 0
 	first = -1
 	err := l.raw.Control(func(fd uintptr) {
 		for range maxShedBatch {
@@ -263,7 +263,7 @@
 				continue
 			}
 			if batch.refuse(refusedConn{fd: s, acceptedAt: began}) {
-				answered++
+				refused++
 				continue
 			}
 			_ = unix.Close(s) // nothing was read or will be sent
@@ -272,7 +272,7 @@
 	})
 	now := l.now()
 	batch.end()
-	l.arrivals.countShed(answered+closed, now)
+	l.arrivals.countShed(refused+closed, now)
 	l.closedCount.Add(int64(closed))
 	return first, err == nil
 }
--- a/pkg/admission/listener_test.go
+++ b/pkg/admission/listener_test.go
@@ -68,7 +68,7 @@
 	require.Zero(t, refused+closed)
 }
 
-// While connections wait too long, new ones are refused at once with a Retry-After, in an answer
+// While connections wait too long, new ones are refused at once with a Retry-After, in a response
 // that a standard client accepts. Once none waits, they are admitted again.
 func TestOverloadedListenerSheds(t *testing.T) {
 	l, addr := serve(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
--- a/pkg/admission/refusal_test.go
+++ b/pkg/admission/refusal_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// statusOn returns the status of the answer on a connection that is closed after it; 0 for none.
+// statusOn returns the status of the response on a connection that is closed after it; 0 for none.
 func statusOn(c net.Conn) int {
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -40,7 +40,7 @@
 	return resp.StatusCode
 }
 
-// Guards against a small overloaded router that closes most connections without an answer. Callers
+// Guards against a small overloaded router that closes most connections without a response. Callers
 // that are closed retry at once: 5,300 connections per second arrived for 1,100 requests, and
 // shedding them took the CPU that serving needs. The organisation whose callers all used that
 // router got less than half of what another one got at a larger router.
@@ -90,7 +90,7 @@
 }
 
 // pendingState reports whether any refusal is pending, and whether the oldest connection has got
-// its answer.
+// its response.
 func (r *refuser) pendingState() (pending, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/admission/refusedconn.go
+++ b/pkg/admission/refusedconn.go
@@ -37,14 +37,14 @@
 // fails instead of retrying. Closing with unread bytes resets the connection, and the refusal is
 // lost on the way. When the whole request was read, nothing more will arrive and the connection
 // needs no further polling.
-func (r *refusedConn) step(refusal, skip []byte, m *traffic.Meter, now time.Time) (done bool) {
-	n, err := unix.Read(r.fd, skip)
+func (r *refusedConn) step(refusal, scratch []byte, m *traffic.Meter, now time.Time) (done bool) {
+	n, err := unix.Read(r.fd, scratch)
 	m.Received(n)
-	waits := err == unix.EAGAIN || err == unix.EINTR
+	wouldBlock := err == unix.EAGAIN || err == unix.EINTR
 	if !r.answeredAt.IsZero() {
-		return !waits && (err != nil || n == 0) || now.Sub(r.answeredAt) >= lingerTimeout
+		return !wouldBlock && (err != nil || n == 0) || now.Sub(r.answeredAt) >= lingerTimeout
 	}
-	if waits {
+	if wouldBlock {
 		return now.Sub(r.acceptedAt) >= firstReadTimeout
 	}
 	if err != nil || n == 0 {
@@ -55,7 +55,7 @@
 	}
 	m.Sent(len(refusal))
 	r.answeredAt = now
-	return isCompleteRequest(skip[:n])
+	return isCompleteRequest(scratch[:n])
 }
 
 // close closes the connection; nothing is left to be sent.
--- a/pkg/admission/refuser.go
+++ b/pkg/admission/refuser.go
@@ -22,7 +22,7 @@
 
 // refuser answers shed connections with a refusal.
 type refuser struct {
-	// refusal returns the answer for connections that are refused now.
+	// refusal returns the response for connections that are refused now.
 	refusal func(now time.Time) []byte
 	// processCPU returns the CPU time of the process, threadCPU that of the calling thread.
 	processCPU, threadCPU func() time.Duration
@@ -111,7 +111,7 @@
 	r.budget.cpuShare.observe(r.cpuTime, now)
 }
 
-// readClocks reads the clocks.
+// readClocks reads both CPU clocks and updates cpuTime.
 func (r *refuser) readClocks() cpuTimes {
 	now := cpuTimes{process: r.processCPU(), thread: r.threadCPU()}
 	r.cpuTime = r.asTime(now.process)
--- a/pkg/admission/request.go
+++ b/pkg/admission/request.go
@@ -29,12 +29,12 @@
 	return length >= 0 && len(body) >= length
 }
 
-// framing returns the declared length of the body that follows a head, negative when it is invalid,
-// and whether the body is chunked.
-func framing(head []byte) (length int, chunked bool) {
-	for len(head) > 0 {
+// framing returns the declared length of the body that follows a header, negative when it is
+// invalid, and whether the body is chunked.
+func framing(header []byte) (length int, chunked bool) {
+	for len(header) > 0 {
 		var line []byte
-		line, head, _ = bytes.Cut(head, lineEnd)
+		line, header, _ = bytes.Cut(header, lineEnd)
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		if len(name) != len("Content-Length") && len(name) != len("Transfer-Encoding") {
 			continue // skip most headers cheaply
--- a/pkg/admission/request_test.go
+++ b/pkg/admission/request_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// For any bytes, nothing is complete before its head has ended, and more bytes don't make a
+// For any bytes, nothing is complete before its header has ended, and more bytes don't make a
 // complete request with a declared length incomplete.
 func FuzzIsCompleteRequest(f *testing.F) {
 	f.Add([]byte(postRequest))
@@ -38,8 +38,8 @@
 			return
 		}
 		require.Contains(t, string(request), "\r\n\r\n")
-		head, _, _ := strings.Cut(string(request), "\r\n\r\n")
-		if _, chunked := framing([]byte(head)); !chunked {
+		header, _, _ := strings.Cut(string(request), "\r\n\r\n")
+		if _, chunked := framing([]byte(header)); !chunked {
 			require.True(t, isCompleteRequest(append(request, "more"...)))
 		}
 	})
--- a/pkg/admission/rounds.go
+++ b/pkg/admission/rounds.go
@@ -52,7 +52,7 @@
 //
 // In its time slice an overloaded router catches up and is idle for some milliseconds. If rounds
 // doubled from there on, they would reach 256 connections within one slice; reading these takes the
-// CPU for a second, and connections that arrive meanwhile get no answer.
+// CPU for a second, and connections that arrive meanwhile get no response.
 func (r *rounds) reset() { *r = rounds{size: initialRoundSize, lastSlow: r.lastSlow} }
 
 // startNext starts a round after other goroutines had the CPU for the given time. While a slow
@@ -81,5 +81,5 @@
 // A single slow round may be a pause by a CPU quota or a noisy neighbour; treating it as overload
 // would shed a whole burst on a host that is idle a moment later. The second slow round need not be
 // the next one: under a quota, fast rounds lie between the slow ones, and a router that waits for
-// two in a row leaves most callers without an answer.
+// two in a row leaves most callers without a response.
 func (r *rounds) overloaded(now time.Time) bool { return r.slow(now) && r.wasSlowBefore }
--- a/pkg/admission/stall_test.go
+++ b/pkg/admission/stall_test.go
@@ -71,7 +71,7 @@
 
 // Under a CPU quota one round in each tenth of a second is slow, and those between are fast. If two
 // slow rounds in a row were required, hardly any connection would be shed, and most callers would
-// get no answer: 728 of 1,032 in a second.
+// get no response: 728 of 1,032 in a second.
 func TestSlowRoundsBetweenQuickOnesAreAnOverload(t *testing.T) {
 	r := rounds{size: initialRoundSize}
 	now := start
--- a/pkg/admission/stats.go
+++ b/pkg/admission/stats.go
@@ -12,7 +12,8 @@
 // EstimatedWait returns how long a connection accepted now would wait to be read.
 func (l *Listener) Wait() time.Duration { return l.queue.estimatedWait(l.now()) }
 
-// ShedCounts returns how many connections were refused, and how many were closed without an answer.
+// ShedCounts returns how many connections were refused, and how many were closed without a
+// response.
 func (l *Listener) TurnedAway() (refused, closed int64) {
 	return l.refuser.refusedCount.Load(), l.closedCount.Load()
 }
--- a/pkg/handover/pair.go
+++ b/pkg/handover/pair.go
@@ -21,7 +21,7 @@
 	connected bool
 	// requestSent is whether bytes of the request may have been sent to the router.
 	requestSent bool
-	// answered is whether bytes of an answer were received.
+	// answered is whether bytes of a response were received.
 	answered bool
 	// pendingUp holds bytes that the router's socket has not accepted yet, pendingDown those for
 	// the caller's.
@@ -125,10 +125,11 @@
 	return nil
 }
 
-// closeWithReset closes a connection with a reset, so that a truncated answer can't look complete.
+// closeWithReset closes a connection with a reset, so that a truncated response can't look
+// complete.
 func closeWithReset(fd int) {
-	// If setting the option fails, the close is an ordinary one, and only the framing of the answer
-	// shows that it is truncated.
+	// If setting the option fails, the close is an ordinary one, and only the framing of the
+	// response shows that it is truncated.
 	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	_ = unix.Close(fd)
 }
--- a/pkg/handover/relay.go
+++ b/pkg/handover/relay.go
@@ -136,7 +136,7 @@
 }
 
 // finish closes both connections. For broken the caller's connection is reset, which shows that the
-// answer is truncated.
+// response is truncated.
 func (r *Relay) finish(p *pair, state transferState) {
 	r.forget(p)
 	if state == broken {
--- a/pkg/handover/relay_test.go
+++ b/pkg/handover/relay_test.go
@@ -19,7 +19,7 @@
 	"github.com/flamingowind/flamingowind/internal/nowait"
 )
 
-// Guards against requests and answers that lose bytes on the way, especially large ones, which no
+// Guards against requests and responses that lose bytes on the way, especially large ones, which no
 // socket accepts at once.
 func TestRelayedBytesAreComplete(t *testing.T) {
 	const size = 8 << 20
@@ -76,9 +76,9 @@
 	require.Empty(t, s.refused)
 }
 
-// Guards against a truncated answer that looks complete after its router failed.
+// Guards against a truncated response that looks complete after its router failed.
 func TestTruncatedAnswerDoesNotLookComplete(t *testing.T) {
-	for name, sent := range map[string]string{"before the head": "", "in the body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345"} {
+	for name, sent := range map[string]string{"before the header": "", "in the body": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n12345"} {
 		t.Run(name, func(t *testing.T) {
 			addr := startRouter(t, func(w http.ResponseWriter, _ *http.Request) {
 				c, _, err := w.(http.Hijacker).Hijack()
@@ -100,7 +100,7 @@
 	}
 }
 
-// Guards against a reset that reaches the caller as a close, which ends an answer without framing
+// Guards against a reset that reaches the caller as a close, which ends a response without framing
 // (HTTP/1.0) as if it were complete.
 func TestResetAndCloseAreRelayedAsSuch(t *testing.T) {
 	const answer = "HTTP/1.0 200 OK\r\n\r\nid: 1\ndata: a\n\n"
