--- a/pkg/warmup/doc.go
+++ b/pkg/warmup/doc.go
@@ -1,11 +1,12 @@
-// Package warmup bounds the requests that cold upstreams get: those that have just started,
-// and those of an availability zone that was just restored.
+// Package warmup limits the rate of requests to cold upstreams: those that have just started, and
+// those of an availability zone that was just restored after an evacuation.
 //
-// The bound holds for all routers together, and nothing coordinates them. Each cold upstream
-// is assigned to a few routers by rendezvous hashing; only they send to it, each within its own
-// part of the bound. The parts add up to less than the bound, so that a router which sees
-// another fleet for a moment doesn't break it.
+// The limit holds for all routers together, without coordination. Each cold upstream is assigned to
+// a few routers by rendezvous hashing; only they send to it, each within its own share of the
+// limit. The shares add up to less than the limit, so that it still holds while a router has a
+// different view of the fleet for a moment.
 //
-// A router that is cut off hears neither of an evacuation nor of its end, so it takes any upstream
-// for one that may be cold, and assignees leave room for as many lost routers as may be assigned it.
+// A partitioned router hears neither of an evacuation nor of its end, so it treats every upstream
+// as possibly cold. The assignees leave part of the limit unused for as many lost routers as could
+// be assigned the upstream.
 package warmup
--- a/pkg/warmup/fleet_test.go
+++ b/pkg/warmup/fleet_test.go
@@ -13,14 +13,14 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Times of the simulated fleet.
+// Durations in the simulated fleet.
 const (
 	simTick = 20 * time.Millisecond
 	simTime = 20 * time.Second
-	// simLag is how late a router may see that another one came or went.
-	simLag = 1200 * time.Millisecond
-	// simPause is the least time between two troubles.
-	simPause = 3 * time.Second
+	// maxViewDelay is the maximum delay after which a router sees that another one joined or left.
+	maxViewDelay = 1200 * time.Millisecond
+	// simFaultInterval is the time between two injections of faults.
+	simFaultInterval = 3 * time.Second
 )
 
 // simRouter is one router of a simulated fleet.
@@ -28,49 +28,49 @@
 	name string
 	fleet
 	gate *Gate
-	// runs is false while it is dead, frozen or both.
-	runs bool
-	// dead is whether it starts anew when it runs again.
+	// running is false while it is dead or frozen.
+	running bool
+	// dead is whether it restarts as a new process when it runs again.
 	dead bool
-	// unseen are the changes of the fleet that it will see yet.
-	unseen []simChange
+	// pending holds the changes of the fleet that it hasn't seen yet.
+	pending []simChange
 }
 
-// simChange is a router that came or went, as another one sees it.
+// simChange is a router that joined or left, as seen by another one.
 type simChange struct {
 	router string
 	listed bool
 	due    time.Time
 }
 
-// simFleet are routers that all send as much as they may to one cold upstream.
+// simFleet is a fleet whose routers all send as much as they may to one cold upstream.
 type simFleet struct {
 	t       *rapid.T
 	now     time.Time
 	routers []*simRouter
-	// random decides what needs no smallest example: how late routers see, and who asks.
+	// random makes the choices that rapid need not shrink: view delays, and which routers send.
 	random *rand.Rand
-	// listed are the routers that take part.
+	// listed holds the routers that take part.
 	listed   []string
 	sent     []time.Time
 	upstream upstream.Instance
 }
 
-func newSimFleet(t *rapid.T, most int) *simFleet {
-	f := &simFleet{t: t, now: time.Now(), upstream: engine("i", "a", 3*time.Second)}
+func newSimFleet(t *rapid.T, maxRouters int) *simFleet {
+	f := &simFleet{t: t, now: time.Now(), upstream: newEngine("i", "a", 3*time.Second)}
 	f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-	for i := range rapid.IntRange(1, most).Draw(t, "routers") {
+	for i := range rapid.IntRange(1, maxRouters).Draw(t, "routers") {
 		f.listed = append(f.listed, "r"+strconv.Itoa(i))
 	}
 	for _, name := range f.listed {
-		r := &simRouter{name: name, runs: true}
+		r := &simRouter{name: name, running: true}
 		f.start(r, f.now.Add(-time.Minute))
 		f.routers = append(f.routers, r)
 	}
 	return f
 }
 
-// start gives a router a new process that has seen its fleet since a time.
+// start gives a router a new process that has seen its fleet since the given time.
 func (f *simFleet) start(r *simRouter, since time.Time) {
 	r.current = true
 	if r.roster.Known == 0 {
@@ -81,66 +81,66 @@
 	r.gate.Follow(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 }
 
-// trouble kills or freezes some routers at once, or brings them back.
-func (f *simFleet) trouble(most int) {
-	for range rapid.IntRange(1, most).Draw(f.t, "struck") {
-		f.strike(f.anyOfFirst())
+// injectFaults kills, freezes or restarts some routers at once.
+func (f *simFleet) injectFaults(most int) {
+	for range rapid.IntRange(1, most).Draw(f.t, "faults") {
+		f.toggle(f.pickTopRanked())
 	}
 }
 
-// anyOfFirst is one of the routers that rank first for the upstream: those that it is assigned to and
+// pickTopRanked draws one of the routers that rank highest for the upstream: its assignees and
 // those that take their place.
-func (f *simFleet) anyOfFirst() *simRouter {
+func (f *simFleet) pickTopRanked() *simRouter {
 	var names []string
 	for _, r := range f.routers {
 		names = append(names, r.name)
 	}
-	struck := rapid.SampledFrom(first(f.upstream.Life(), 2*maxAssignees, names)).Draw(f.t, "router")
-	return f.routers[slices.Index(names, struck)]
+	name := rapid.SampledFrom(topRanked(f.upstream.Life(), 2*maxAssignees, names)).Draw(f.t, "router")
+	return f.routers[slices.Index(names, name)]
 }
 
-// strike kills or freezes a router, or brings it back.
-func (f *simFleet) strike(r *simRouter) {
-	if r.runs {
-		r.runs, r.dead = false, rapid.Bool().Draw(f.t, "dead")
+// toggle kills or freezes a running router, or restarts it otherwise.
+func (f *simFleet) toggle(r *simRouter) {
+	if r.running {
+		r.running, r.dead = false, rapid.Bool().Draw(f.t, "dead")
 		f.listed = slices.DeleteFunc(slices.Clone(f.listed), func(s string) bool { return s == r.name })
 	} else {
-		r.runs = true
+		r.running = true
 		f.listed = append(slices.Clone(f.listed), r.name)
 		slices.Sort(f.listed)
 		if r.dead {
 			f.start(r, f.now)
-			r.unseen = nil
+			r.pending = nil
 		}
-		unseen := r.unseen
-		r.unseen = nil
+		unseen := r.pending
+		r.pending = nil
 		for _, c := range unseen {
-			f.show(r, c.router, c.listed)
+			f.scheduleChange(r, c.router, c.listed)
 		}
 	}
 	for _, other := range f.routers {
 		if other != r {
-			f.show(other, r.name, r.runs)
+			f.scheduleChange(other, r.name, r.running)
 		}
 	}
 }
 
-// show lets a router see a change after a while. Changes of one router are seen in their order: a
-// router counts as alive by the newest report that was heard of it.
-func (f *simFleet) show(r *simRouter, changed string, listed bool) {
-	due := f.now.Add(time.Duration(f.random.Int64N(int64(simLag))))
-	for _, c := range r.unseen {
+// scheduleChange shows a router a change after a random delay. Changes of one router are seen in
+// order, because liveness follows the latest report heard from it.
+func (f *simFleet) scheduleChange(r *simRouter, changed string, listed bool) {
+	due := f.now.Add(time.Duration(f.random.Int64N(int64(maxViewDelay))))
+	for _, c := range r.pending {
 		if c.router == changed && c.due.After(due) {
 			due = c.due
 		}
 	}
-	r.unseen = append(r.unseen, simChange{router: changed, listed: listed, due: due})
+	r.pending = append(r.pending, simChange{router: changed, listed: listed, due: due})
 }
 
-// see shows a router each change of the fleet as late as it sees it.
-func (f *simFleet) see(r *simRouter) {
+// applyChanges applies the changes that are due to a router's roster.
+func (f *simFleet) applyChanges(r *simRouter) {
 	var rest []simChange
-	for _, c := range r.unseen {
+	for _, c := range r.pending {
 		if f.now.Before(c.due) {
 			rest = append(rest, c)
 			continue
@@ -152,24 +152,24 @@
 		}
 		r.roster.Routers, r.roster.Since = routers, f.now
 	}
-	r.unseen = rest
+	r.pending = rest
 }
 
 func (f *simFleet) step() {
 	f.now = f.now.Add(simTick)
 	for _, r := range f.routers {
-		if !r.runs {
+		if !r.running {
 			continue
 		}
-		f.see(r)
-		for f.random.IntN(4) > 0 && r.gate.Take(&f.upstream, engines, f.now) {
+		f.applyChanges(r)
+		for f.random.IntN(4) > 0 && r.gate.Take(&f.upstream, coldService, f.now) {
 			f.sent = append(f.sent, f.now)
 		}
 	}
 }
 
-// worst is the most that was sent in any second.
-func (f *simFleet) worst() int {
+// maxPerSecond returns the maximum number of requests in any second.
+func (f *simFleet) maxPerSecond() int {
 	most := 0
 	for i, at := range f.sent {
 		n := 0
@@ -183,31 +183,32 @@
 	return most
 }
 
-// Guards against routers that send too much together while one or two of them die, freeze, wake or
-// start at once, and the others see it late and at different times.
+// Guards against routers that together exceed the limit while one or two of them die, freeze,
+// resume or start at once, and the others see that late and at different times.
 func TestColdUpstreamsKeepTheirBoundWhileRoutersComeAndGo(t *testing.T) {
 	for most, size := range map[int]int{1: 9, 2: 24} {
 		t.Run(strconv.Itoa(most), func(t *testing.T) {
-			rapid.Check(t, func(t *rapid.T) { keepsBound(t, most, size) })
+			rapid.Check(t, func(t *rapid.T) { checkColdLimit(t, most, size) })
 		})
 	}
 }
 
-// keepsBound plays a fleet of up to size routers, of which up to most are struck at once.
-func keepsBound(t *rapid.T, most, size int) {
+// checkColdLimit simulates a fleet of up to size routers, with faults in up to most of them at
+// once.
+func checkColdLimit(t *rapid.T, maxFaults, size int) {
 	f := newSimFleet(t, size)
 	end, next := f.now.Add(simTime), f.now
 	for f.now.Before(end) {
 		if !f.now.Before(next) {
-			f.trouble(most)
-			next = f.now.Add(simPause)
+			f.injectFaults(maxFaults)
+			next = f.now.Add(simFaultInterval)
 		}
-		// The upstream stays cold throughout: what it says is anew each time.
+		// A changed report each time keeps the upstream cold throughout.
 		f.upstream.WarmupLeft++
 		for _, r := range f.routers {
 			r.gate.Follow(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 		}
 		f.step()
 	}
-	require.LessOrEqual(t, f.worst(), bound)
+	require.LessOrEqual(t, f.maxPerSecond(), coldLimit)
 }
--- a/pkg/warmup/gate.go
+++ b/pkg/warmup/gate.go
@@ -12,96 +12,96 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// maxWarmup bounds what is believed of an upstream's warm-up before its service is known.
+// maxWarmup bounds the reported warm-up of an upstream until its service is known.
 const maxWarmup = 10 * time.Minute
 
-// Gate tells which upstreams this router may send a request to.
+// Gate decides to which upstreams this router may send a request.
 type Gate struct {
 	roster func(now time.Time) Roster
-	// current reports whether the list of upstreams is current.
+	// current reports whether the list of upstreams is up to date.
 	current func(now time.Time) bool
 	log     log.Interface
-	// started is a time before any restoration that still matters.
-	started time.Time
-
-	// seen is the newest view of the fleet.
-	seen atomic.Pointer[view]
-	// calmAt is when the last upstream is surely warm by what entries say, restoredAt when a zone
-	// was last restored, in nanoseconds since started.
-	calmAt, restoredAt atomic.Int64
-
-	mu    sync.Mutex
-	over  float64
-	slack float64
-	set   *upstream.Set
-	lives map[upstream.Life]*life
-	// restored is when zones were restored.
+	// epoch is the reference of warmBy and lastRestored, before any restoration that still matters.
+	epoch time.Time
+
+	// currentView is the latest view of the fleet.
+	currentView atomic.Pointer[view]
+	// warmBy is when all upstreams are warm according to their entries, lastRestored when a zone
+	// was last restored, in nanoseconds since epoch.
+	warmBy, lastRestored atomic.Int64
+
+	mu     sync.Mutex
+	factor float64
+	slack  float64
+	set    *upstream.Set
+	states map[upstream.Life]*warmupState
+	// restored holds the time of each zone's last restoration.
 	restored map[string]time.Time
 }
 
-// NewGate returns a gate that knows no upstreams. roster gives the routers that upstreams are
-// assigned to, current tells whether the list of upstreams is current.
+// NewGate returns a gate without upstreams. roster returns the routers that upstreams are assigned
+// to, current reports whether the list of upstreams is up to date.
 func NewGate(roster func(now time.Time) Roster, current func(now time.Time) bool, l log.Interface) *Gate {
-	return &Gate{roster: roster, current: current, log: l, started: time.Now().Add(-maxWarmup), over: 1, set: upstream.NewSet(nil), lives: make(map[upstream.Life]*life),
+	return &Gate{roster: roster, current: current, log: l, epoch: time.Now().Add(-maxWarmup), factor: 1, set: upstream.NewSet(nil), states: make(map[upstream.Life]*warmupState),
 		restored: make(map[string]time.Time)}
 }
 
-// Tune sets the bound: over times what a service declares for its cold upstreams, and slack
-// requests a second beside it.
-func (g *Gate) Tune(over, slack float64) {
+// SetLimit sets the limit for a cold upstream: factor times what its service declares, plus slack
+// requests per second.
+func (g *Gate) Tune(factor, slack float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.over, g.slack = over, slack
+	g.factor, g.slack = factor, slack
 }
 
-// Follow takes a new list of upstreams.
+// SetUpstreams sets the list of upstreams.
 func (g *Gate) Follow(set *upstream.Set, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cold := 0
-	lives := make(map[upstream.Life]*life, len(g.lives))
+	lives := make(map[upstream.Life]*warmupState, len(g.states))
 	for _, in := range set.List() {
 		key := in.Life()
-		known := g.lives[key]
-		if known == nil || g.tellsAnew(&in) {
-			known = g.told(known, &in, now)
-			cold += g.count(known, now)
+		known := g.states[key]
+		if known == nil || g.warmupChanged(&in) {
+			known = g.recordReport(known, &in, now)
+			cold += g.countCold(known, now)
 		}
 		lives[key] = known
 	}
-	g.set, g.lives = set, lives
+	g.set, g.states = set, lives
 	if cold > 0 {
 		g.log.WithFields(log.Fields{"event": "upstreams_cold", "upstreams": cold}).Info("upstreams are cold")
 	}
 }
 
-// tellsAnew reports whether an entry says something else of the warm-up than before.
-func (g *Gate) tellsAnew(in *upstream.Instance) bool {
+// warmupChanged reports whether an entry's warm-up report differs from the previous one.
+func (g *Gate) warmupChanged(in *upstream.Instance) bool {
 	before := g.set.Get(in.ID)
 	return before == nil || before.WarmupTold != in.WarmupTold || before.WarmupLeft != in.WarmupLeft
 }
 
-// told takes what an entry says.
-func (g *Gate) told(known *life, in *upstream.Instance, now time.Time) *life {
+// recordReport records an entry's warm-up report.
+func (g *Gate) recordReport(known *warmupState, in *upstream.Instance, now time.Time) *warmupState {
 	if known == nil {
-		known = new(life)
+		known = new(warmupState)
 	}
-	known.at, known.told, known.left = now, in.WarmupTold, in.WarmupLeft
+	known.reportedAt, known.reported, known.reportedLeft = now, in.WarmupTold, in.WarmupLeft
 	return known
 }
 
-// count gives 1 for a life that may be cold, and keeps the gate watchful for as long.
-func (g *Gate) count(l *life, now time.Time) int {
+// countCold returns 1 for an upstream that may be cold, and extends warmBy accordingly.
+func (g *Gate) countCold(l *warmupState, now time.Time) int {
 	left := l.remaining(maxWarmup)
 	if left <= 0 {
 		return 0
 	}
-	g.calmAt.Store(max(g.calmAt.Load(), int64(now.Add(left).Sub(g.started))))
+	g.warmBy.Store(max(g.warmBy.Load(), int64(now.Add(left).Sub(g.epoch))))
 	return 1
 }
 
-// Restore takes zones that were evacuated until a time. Their upstreams are cold from then on,
-// whatever entries say: those from before may be read after.
+// MarkRestored records that the evacuation of zones ended at the given time. Their upstreams are
+// cold from then on whatever their entries say, as entries from before may be read later.
 func (g *Gate) Restore(zones []string, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,7 +115,7 @@
 			g.restored[zone] = at
 		}
 	}
-	g.restoredAt.Store(max(g.restoredAt.Load(), int64(at.Sub(g.started))))
+	g.lastRestored.Store(max(g.lastRestored.Load(), int64(at.Sub(g.epoch))))
 	cold := 0
 	for _, in := range g.set.List() {
 		if slices.Contains(zones, in.Zone) {
@@ -125,19 +125,19 @@
 	g.log.WithFields(log.Fields{"event": "upstreams_cold", "upstreams": cold, "zones": zones}).Info("upstreams of restored zones count as cold")
 }
 
-// calm reports whether no upstream is cold.
-func (g *Gate) calm(s *routing.Service, now time.Time) bool {
+// allWarm reports whether no upstream is cold.
+func (g *Gate) allWarm(s *routing.Service, now time.Time) bool {
 	if s.ColdPerSecond <= 0 || s.Warmup <= 0 {
 		return true
 	}
-	at := int64(now.Sub(g.started))
-	restored := g.restoredAt.Load()
-	return at >= g.calmAt.Load() && (restored == 0 || at >= restored+int64(s.Warmup))
+	at := int64(now.Sub(g.epoch))
+	restored := g.lastRestored.Load()
+	return at >= g.warmBy.Load() && (restored == 0 || at >= restored+int64(s.Warmup))
 }
 
-// Cold reports whether an upstream of a service is cold.
+// IsCold reports whether an upstream of a service is cold.
 func (g *Gate) Cold(in *upstream.Instance, s *routing.Service, now time.Time) bool {
-	if s == nil || g.calm(s, now) {
+	if s == nil || g.allWarm(s, now) {
 		return false
 	}
 	g.mu.Lock()
@@ -145,70 +145,70 @@
 	if at, found := g.restored[in.Zone]; found && now.Before(at.Add(s.Warmup)) {
 		return true
 	}
-	l := g.lives[in.Life()]
+	l := g.states[in.Life()]
 	return l != nil && l.cold(s.Warmup, now)
 }
 
-// Open reports whether an upstream of a service may be sent a request.
+// Allows reports whether this router may send a request to an upstream of a service.
 func (g *Gate) Open(in *upstream.Instance, s *routing.Service, now time.Time) bool {
-	return g.pass(in, s, now, false)
+	return g.check(in, s, now, false)
 }
 
-// Take reports the same just before the request is sent, and counts it.
+// Acquire reports the same just before the request is sent, and counts the request.
 func (g *Gate) Take(in *upstream.Instance, s *routing.Service, now time.Time) bool {
-	return g.pass(in, s, now, true)
+	return g.check(in, s, now, true)
 }
 
-// cutOff reports whether the router hears neither of the list of upstreams nor of all others, some
-// of which may hear of it. Upstreams that this router takes for warm may be cold.
-func (v *view) cutOff() bool { return !v.current && len(v.roster.Lost) > 0 }
+// partitioned reports whether the router gets no updates of the list of upstreams and has lost
+// other routers, which may still get them. Upstreams that it considers warm may then be cold.
+func (v *view) partitioned() bool { return !v.current && len(v.roster.Lost) > 0 }
 
-// viewFor is how long a view of the fleet holds.
-const viewFor = 20 * time.Millisecond
+// viewLifetime is how long a view of the fleet is used.
+const viewLifetime = 20 * time.Millisecond
 
-// view is what the assignment of upstreams follows from, as of one moment.
+// view is the state of the fleet that determines the assignment of upstreams, at one moment.
 type view struct {
 	at      time.Time
 	roster  Roster
 	current bool
 }
 
-// view gives the newest view. It is taken without the gate's lock, as lists come under those of
-// others.
-func (g *Gate) view(now time.Time) *view {
-	v := g.seen.Load()
-	if v == nil || now.Sub(v.at) >= viewFor || now.Before(v.at) {
+// viewAt returns the current view. It is taken without the gate's lock, because the functions
+// roster and current take other locks.
+func (g *Gate) viewAt(now time.Time) *view {
+	v := g.currentView.Load()
+	if v == nil || now.Sub(v.at) >= viewLifetime || now.Before(v.at) {
 		before := v
 		v = &view{at: now, roster: g.roster(now), current: g.current(now)}
-		g.seen.Store(v)
-		if before != nil && before.cutOff() != v.cutOff() {
-			g.log.WithFields(log.Fields{"event": "cut_off", "cut_off": v.cutOff(), "known": v.roster.Known, "lost": len(v.roster.Lost)}).
-				Info("sight of the list of upstreams has changed while routers are silent")
+		g.currentView.Store(v)
+		if before != nil && before.partitioned() != v.partitioned() {
+			g.log.WithFields(log.Fields{"event": "cut_off", "cut_off": v.partitioned(), "known": v.roster.Known, "lost": len(v.roster.Lost)}).
+				Info("access to the list of upstreams changed while routers are lost")
 		}
 	}
 	return v
 }
 
-func (g *Gate) pass(in *upstream.Instance, s *routing.Service, now time.Time, take bool) bool {
+func (g *Gate) check(in *upstream.Instance, s *routing.Service, now time.Time, count bool) bool {
 	if s == nil || s.ColdPerSecond <= 0 {
 		return true
 	}
-	cold, view := g.Cold(in, s, now), g.view(now)
-	if !cold && !view.cutOff() {
+	cold, view := g.Cold(in, s, now), g.viewAt(now)
+	if !cold && !view.partitioned() {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := in.Life()
-	l := g.lives[key]
+	l := g.states[key]
 	if l == nil {
-		return false // the list has changed meanwhile
+		return false // the list has changed in the meantime
 	}
-	p := split(int(s.ColdPerSecond*g.over+g.slack), view.roster.Known)
-	if !l.open(key, view, p, cold, now) {
+	p := splitLimit(int(s.ColdPerSecond*g.factor+g.slack), view.roster.Known)
+	if !l.allows(key, view, p, cold, now) {
 		return false
 	}
-	if take {
+	if count {
 		l.sent = append(l.sent, now)
 	}
 	return true
--- a/pkg/warmup/gate_test.go
+++ b/pkg/warmup/gate_test.go
@@ -15,16 +15,17 @@
 
 var quiet = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 
-// engines is a service whose cold upstreams take 20 requests a second with over 1.5 and slack 5.
-var engines = &routing.Service{Name: "llm", Warmup: 3 * time.Second, ColdPerSecond: 10}
+// coldService is a service with a limit of 20 requests per second (coldLimit) for each cold
+// upstream, with factor 1.5 and slack 5.
+var coldService = &routing.Service{Name: "llm", Warmup: 3 * time.Second, ColdPerSecond: 10}
 
-const bound = 20
+const coldLimit = 20
 
-func engine(id string, zone string, left time.Duration) upstream.Instance {
+func newEngine(id string, zone string, left time.Duration) upstream.Instance {
 	return upstream.Instance{ID: upstream.ID(id), Service: "llm", Zone: zone, State: upstream.Ready, WarmupTold: true, WarmupLeft: left}
 }
 
-// fleet is what one router sees of its fleet.
+// fleet is one router's view of its fleet.
 type fleet struct {
 	roster  Roster
 	current bool
@@ -36,114 +37,114 @@
 	return g
 }
 
-// alone is a fleet of one router that has been there for long.
-func alone(since time.Time) *fleet {
+// singleRouter returns a fleet of one router that has been running since the given time.
+func singleRouter(since time.Time) *fleet {
 	return &fleet{roster: Roster{Self: "r", Routers: []string{"r"}, Since: since, Joined: since, Known: 1}, current: true}
 }
 
-// sent is how many of n requests the gate lets through at once.
+// sendAtOnce returns how many of n simultaneous requests the gate allows.
 func sent(g *Gate, in upstream.Instance, n int, now time.Time) int {
 	passed := 0
 	for range n {
-		if g.Take(&in, engines, now) {
+		if g.Take(&in, coldService, now) {
 			passed++
 		}
 	}
 	return passed
 }
 
-// Guards against a herd at an upstream that has just started: it crashes.
+// Guards against a thundering herd that crashes an upstream which has just started.
 func TestAColdUpstreamGetsNoMoreThanItBears(t *testing.T) {
 	now := time.Now()
-	f := alone(now.Add(-time.Minute))
+	f := singleRouter(now.Add(-time.Minute))
 	g := f.gate()
-	warm := engine("warm", "a", 0)
+	warm := newEngine("warm", "a", 0)
 	g.Follow(upstream.NewSet([]upstream.Instance{warm}), now)
 	require.Equal(t, 1000, sent(g, warm, 1000, now))
 
-	started := engine("new", "a", 3*time.Second)
+	started := newEngine("new", "a", 3*time.Second)
 	g.Follow(upstream.NewSet([]upstream.Instance{warm, started}), now)
-	require.Equal(t, bound, sent(g, started, 1000, now))
-	require.False(t, g.Open(&started, engines, now.Add(900*time.Millisecond)))
-	require.Equal(t, bound, sent(g, started, 1000, now.Add(window)))
-	require.Equal(t, 1000, sent(g, started, 1000, now.Add(3*time.Second)), "it is warm")
+	require.Equal(t, coldLimit, sent(g, started, 1000, now))
+	require.False(t, g.Open(&started, coldService, now.Add(900*time.Millisecond)))
+	require.Equal(t, coldLimit, sent(g, started, 1000, now.Add(window)))
+	require.Equal(t, 1000, sent(g, started, 1000, now.Add(3*time.Second)), "the upstream is warm")
 	require.Equal(t, 1000, sent(g, warm, 1000, now))
 }
 
-// Guards against an upstream that is taken for warm as nobody says that it is cold: its row says
-// nothing, what can't be, or that it is warm only as its zone is restored.
+// Guards against an upstream that is taken for warm because its entry reports nothing, something
+// invalid, or a warm state from before its zone was restored.
 func TestWhatIsNotToldToBeWarmIsCold(t *testing.T) {
 	now := time.Now()
-	g := alone(now.Add(-time.Minute)).gate()
-	mute, absurd, warm := engine("mute", "a", 0), engine("absurd", "a", 1000*time.Hour), engine("warm", "b", 0)
+	g := singleRouter(now.Add(-time.Minute)).gate()
+	mute, absurd, warm := newEngine("mute", "a", 0), newEngine("absurd", "a", 1000*time.Hour), newEngine("warm", "b", 0)
 	mute.WarmupTold = false
 	g.Follow(upstream.NewSet([]upstream.Instance{mute, absurd, warm}), now)
-	require.True(t, g.Cold(&mute, engines, now.Add(2*time.Second)))
-	require.True(t, g.Cold(&absurd, engines, now.Add(2*time.Second)))
-	require.False(t, g.Cold(&absurd, engines, now.Add(3*time.Second)), "no longer than the service takes")
-	require.False(t, g.Cold(&warm, engines, now))
+	require.True(t, g.Cold(&mute, coldService, now.Add(2*time.Second)))
+	require.True(t, g.Cold(&absurd, coldService, now.Add(2*time.Second)))
+	require.False(t, g.Cold(&absurd, coldService, now.Add(3*time.Second)), "no longer than the service's warm-up")
+	require.False(t, g.Cold(&warm, coldService, now))
 
 	g.Restore([]string{"b"}, now)
-	require.True(t, g.Cold(&warm, engines, now))
+	require.True(t, g.Cold(&warm, coldService, now))
 	again := warm
 	again.Software = "v2"
 	g.Follow(upstream.NewSet([]upstream.Instance{again}), now.Add(time.Second))
-	require.True(t, g.Cold(&again, engines, now.Add(time.Second)), "an entry that says nothing new of its warm-up")
-	require.False(t, g.Cold(&warm, engines, now.Add(3*time.Second)))
+	require.True(t, g.Cold(&again, coldService, now.Add(time.Second)), "an entry with an unchanged warm-up report")
+	require.False(t, g.Cold(&warm, coldService, now.Add(3*time.Second)))
 }
 
-// Guards against an entry from before its zone was restored that is read after: it says that the
-// upstream is warm, as it was then.
+// Guards against an entry from before the restoration of its zone that is read afterwards and still
+// reports the upstream as warm.
 func TestAnEntryReadLateIsNoWarmerThanItsZone(t *testing.T) {
 	now := time.Now()
-	g := alone(now.Add(-time.Minute)).gate()
+	g := singleRouter(now.Add(-time.Minute)).gate()
 	g.Restore([]string{"b"}, now)
-	late, elsewhere := engine("late", "b", 0), engine("elsewhere", "a", 0)
+	late, elsewhere := newEngine("late", "b", 0), newEngine("elsewhere", "a", 0)
 	g.Follow(upstream.NewSet([]upstream.Instance{late, elsewhere}), now.Add(50*time.Millisecond))
-	require.True(t, g.Cold(&late, engines, now.Add(2*time.Second)))
-	require.False(t, g.Cold(&elsewhere, engines, now.Add(2*time.Second)))
-	require.False(t, g.Cold(&late, engines, now.Add(3*time.Second)))
-	require.LessOrEqual(t, sent(g, late, 1000, now.Add(2*time.Second)), bound)
+	require.True(t, g.Cold(&late, coldService, now.Add(2*time.Second)))
+	require.False(t, g.Cold(&elsewhere, coldService, now.Add(2*time.Second)))
+	require.False(t, g.Cold(&late, coldService, now.Add(3*time.Second)))
+	require.LessOrEqual(t, sent(g, late, 1000, now.Add(2*time.Second)), coldLimit)
 }
 
-// Guards against a restoration that is forgotten as it was before this router started.
+// Guards against a restoration that is ignored because it happened before this router started.
 func TestAZoneThatWasRestoredBeforeTheStartIsCold(t *testing.T) {
 	now := time.Now()
-	g := alone(now.Add(-time.Minute)).gate()
-	in := engine("i", "b", 0)
+	g := singleRouter(now.Add(-time.Minute)).gate()
+	in := newEngine("i", "b", 0)
 	g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
 	g.Restore([]string{"b"}, now.Add(-time.Second))
-	require.True(t, g.Cold(&in, engines, now.Add(1900*time.Millisecond)))
-	require.False(t, g.Cold(&in, engines, now.Add(2*time.Second)))
+	require.True(t, g.Cold(&in, coldService, now.Add(1900*time.Millisecond)))
+	require.False(t, g.Cold(&in, coldService, now.Add(2*time.Second)))
 	g.Restore([]string{"b"}, now.Add(-2*time.Second))
-	require.True(t, g.Cold(&in, engines, now.Add(1900*time.Millisecond)), "an older one changes nothing")
+	require.True(t, g.Cold(&in, coldService, now.Add(1900*time.Millisecond)), "an older restoration changes nothing")
 }
 
-// Guards against a new life that inherits the warmth of the one before.
+// Guards against a restarted upstream that inherits the warm state of its previous life.
 func TestANewLifeIsCold(t *testing.T) {
 	now := time.Now()
-	g := alone(now.Add(-time.Minute)).gate()
-	first := engine("i", "a", 0)
+	g := singleRouter(now.Add(-time.Minute)).gate()
+	first := newEngine("i", "a", 0)
 	g.Follow(upstream.NewSet([]upstream.Instance{first}), now)
-	second := engine("i", "a", 3*time.Second)
+	second := newEngine("i", "a", 3*time.Second)
 	second.Born = 7
 	g.Follow(upstream.NewSet([]upstream.Instance{second}), now)
-	require.True(t, g.Cold(&second, engines, now))
+	require.True(t, g.Cold(&second, coldService, now))
 }
 
-// Guards against routers that send to cold upstreams though they can't know what others send:
-// one that is cut off, one whose list is old, one that was assigned the upstream just now.
+// Guards against routers that send to cold upstreams although they can't know what others send: a
+// partitioned one, one with an outdated list, one that was just assigned the upstream.
 func TestWhoSeesTooLittleSendsNothing(t *testing.T) {
 	now := time.Now()
-	in := engine("i", "a", 3*time.Second)
+	in := newEngine("i", "a", 3*time.Second)
 	for name, change := range map[string]func(f *fleet){
-		"old list":        func(f *fleet) { f.current = false },
-		"cut off":         func(f *fleet) { f.roster.Known = 3 },
+		"outdated list":   func(f *fleet) { f.current = false },
+		"partitioned":     func(f *fleet) { f.roster.Known = 3 },
 		"just joined":     func(f *fleet) { f.roster.Joined = now.Add(-time.Second / 2) },
 		"not taking part": func(f *fleet) { f.roster.Routers = []string{"s"} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := alone(now.Add(-time.Minute))
+			f := singleRouter(now.Add(-time.Minute))
 			change(f)
 			g := f.gate()
 			g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
@@ -152,19 +153,19 @@
 	}
 }
 
-// Guards against routers that come back to the fleet together and go on as assignees at once, beside
-// those that took their place meanwhile.
+// Guards against routers that rejoin the fleet together and resume as assignees at once, beside
+// those that have taken their place.
 func TestAnAssigneeThatWasCutOffWaitsAgain(t *testing.T) {
 	now := time.Now()
 	for name, cut := range map[string]func(f *fleet){
-		"old list": func(f *fleet) { f.current = false },
-		"few seen": func(f *fleet) { f.roster.Routers, f.roster.Since = []string{"r"}, f.roster.Since.Add(time.Second) },
+		"outdated list":    func(f *fleet) { f.current = false },
+		"few routers seen": func(f *fleet) { f.roster.Routers, f.roster.Since = []string{"r"}, f.roster.Since.Add(time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			all := []string{"r", "s", "t"}
 			f := &fleet{roster: Roster{Self: "r", Routers: all, Since: now.Add(-time.Minute), Joined: now.Add(-time.Minute), Known: 3}, current: true}
 			g := f.gate()
-			in := engine("i", "a", 3*time.Second)
+			in := newEngine("i", "a", 3*time.Second)
 			g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
 			require.Positive(t, sent(g, in, 10, now))
 			cut(f)
@@ -177,8 +178,8 @@
 	}
 }
 
-// Guards against cold upstreams that stand idle while work is refused: their assignees use four
-// fifths of what they bear, in small fleets three fifths.
+// Guards against cold upstreams that stay idle while requests are refused: their assignees use four
+// fifths of the limit, in small fleets three fifths.
 func TestAssigneesTogetherUseMostOfTheBound(t *testing.T) {
 	for size, want := range map[int]int{6: 12, maxAssignees: 16, 24: 16} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
@@ -189,14 +190,15 @@
 	}
 }
 
-// usedBy is what all routers of a fleet send together to a cold upstream, and how many of them do.
+// totalSent returns how many requests all routers of a fleet send to a cold upstream, and how many
+// routers send any.
 func usedBy(size int) (total, assignees int) {
 	now := time.Now()
 	routers := make([]string, size)
 	for i := range routers {
 		routers[i] = "r" + strconv.Itoa(i)
 	}
-	in := engine("i", "a", 3*time.Second)
+	in := newEngine("i", "a", 3*time.Second)
 	for _, self := range routers {
 		f := &fleet{roster: Roster{Self: self, Routers: routers, Since: now.Add(-time.Minute), Joined: now.Add(-time.Minute), Known: size}, current: true}
 		g := f.gate()
--- a/pkg/warmup/isolated_test.go
+++ b/pkg/warmup/isolated_test.go
@@ -13,7 +13,8 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// cutFleet is a fleet that is cut into groups. Only the routers of group 0 hear of the store.
+// partitionedFleet returns a fleet that is partitioned into groups. Only the routers of group 0
+// reach the store.
 func cutFleet(groups []int, now time.Time) []*fleet {
 	since := now.Add(-time.Minute)
 	list := make([]*fleet, len(groups))
@@ -31,18 +32,18 @@
 	return list
 }
 
-// Guards against a herd at the upstreams of a zone that was evacuated and taken back, cold, while
-// routers were cut off, most of them together or each alone: they have heard of neither.
+// Guards against a thundering herd at the upstreams of a zone that was evacuated and restored, and
+// is cold, while some routers were partitioned, together or each alone, and heard of neither.
 func TestRoutersThatAreCutOffKeepTheBoundOfColdUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		size := rapid.IntRange(2, 24).Draw(t, "routers")
 		groups := rapid.SliceOfN(rapid.IntRange(0, rapid.IntRange(1, size).Draw(t, "groups")), size, size).Draw(t, "group")
 		if len(slices.Compact(slices.Sorted(slices.Values(groups)))) == 1 {
-			groups[0] = 0 // an outage of the store for all, in which nothing is restored
+			groups[0] = 0 // else the store is unreachable for all, and no zone is restored
 		}
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		in := engine("i", "a", 0)
+		in := newEngine("i", "a", 0)
 		f := &simFleet{now: now, upstream: in}
 		var gates []*Gate
 		for i, r := range cutFleet(groups, now) {
@@ -53,24 +54,24 @@
 			}
 			gates = append(gates, g)
 		}
-		for ; f.now.Before(now.Add(engines.Warmup)); f.now = f.now.Add(simTick) {
+		for ; f.now.Before(now.Add(coldService.Warmup)); f.now = f.now.Add(simTick) {
 			for range 3 * size {
-				if gates[random.IntN(size)].Take(&in, engines, f.now) {
+				if gates[random.IntN(size)].Take(&in, coldService, f.now) {
 					f.sent = append(f.sent, f.now)
 				}
 			}
 		}
-		require.LessOrEqual(t, f.worst(), bound)
+		require.LessOrEqual(t, f.maxPerSecond(), coldLimit)
 	})
 }
 
-// Guards against routers that serve nothing while they are cut off, and against ones that count as
-// cut off in an outage of the store.
+// Guards against routers that serve nothing while they are partitioned, and against ones that count
+// as partitioned during an outage of the store.
 func TestRoutersThatAreCutOffServeSome(t *testing.T) {
 	now := time.Now()
 	var list []upstream.Instance
 	for i := range 90 {
-		list = append(list, engine("i"+strconv.Itoa(i), "a", 0))
+		list = append(list, newEngine("i"+strconv.Itoa(i), "a", 0))
 	}
 	alone := make([]int, 90)
 	alone[0] = 1
@@ -90,17 +91,18 @@
 	require.Equal(t, 1000, sent(g, list[0], 1000, now))
 }
 
-// Guards against a bound that is left unused for routers that are dead, not cut off.
+// Guards against a limit that stays largely unused because of routers that are dead and not
+// partitioned.
 func TestLostRoutersCostLittleOfTheBound(t *testing.T) {
-	p := split(bound, 91)
-	require.Equal(t, 16, p.assignees*p.beside(0))
-	require.Equal(t, 16, p.assignees*p.beside(2))
-	require.Equal(t, 8, p.assignees*p.beside(maxAssignees))
+	p := splitLimit(coldLimit, 91)
+	require.Equal(t, 16, p.assignees*p.limitBeside(0))
+	require.Equal(t, 16, p.assignees*p.limitBeside(2))
+	require.Equal(t, 8, p.assignees*p.limitBeside(maxAssignees))
 	for most := range 200 {
-		p := split(most, 91)
+		p := splitLimit(most, 91)
 		for isolated := range p.assignees + 1 {
-			require.LessOrEqual(t, p.assignees*p.beside(isolated)+isolated*p.isolated, most)
-			require.GreaterOrEqual(t, p.beside(isolated), 0)
+			require.LessOrEqual(t, p.assignees*p.limitBeside(isolated)+isolated*p.partitionedLimit, most)
+			require.GreaterOrEqual(t, p.limitBeside(isolated), 0)
 		}
 	}
 }
--- a/pkg/warmup/roster.go
+++ b/pkg/warmup/roster.go
@@ -10,42 +10,45 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Roster are the routers that upstreams are assigned to, as one router sees them.
+// Roster holds the routers that upstreams are assigned to, as seen by one router.
 type Roster struct {
-	// Self is this router, Routers are all that take part, Lost those that are known and silent.
+	// Self is this router, Routers are all routers that take part, Lost the known ones that are
+	// silent.
 	Self          string
 	Routers, Lost []string
-	// Since is when Routers last changed, Joined since when this router has seen at least half
-	// of those that it knows.
+	// ChangedAt is when Routers last changed, JoinedAt since when this router has seen at least
+	// half of the known routers.
 	Since, Joined time.Time
-	// Known is the number of routers that are known, lost ones and this one included.
+	// Known is the number of known routers, including lost ones and this one.
 	Known int
 }
 
-// seesMost reports whether the router hears of more than half of those that it knows. One that
-// hears of fewer may be the one that is cut off.
-func (r *Roster) seesMost() bool { return 2*len(r.Lost) < r.Known }
+// seesMajority reports whether the router sees more than half of the known routers. One that sees
+// fewer may itself be the partitioned one.
+func (r *Roster) seesMajority() bool { return 2*len(r.Lost) < r.Known }
 
-// assigned reports whether a life of an upstream is assigned to this router.
-func (r *Roster) assigned(life upstream.Life, assignees int) bool {
+// isAssigned reports whether a life of an upstream is assigned to this router.
+func (r *Roster) isAssigned(life upstream.Life, assignees int) bool {
 	if 2*len(r.Routers) < r.Known {
 		return false
 	}
-	return slices.Contains(first(life, assignees, r.Routers), r.Self)
+	return slices.Contains(topRanked(life, assignees, r.Routers), r.Self)
 }
 
-// assignedWhileIsolated reports the same for a router that is cut off: all routers that are known take part.
-func (r *Roster) assignedWhileIsolated(life upstream.Life, assignees int) bool {
-	return slices.Contains(first(life, assignees, r.Routers, r.Lost), r.Self)
+// isAssignedWhilePartitioned reports the same for a partitioned router, which ranks all known
+// routers.
+func (r *Roster) isAssignedWhilePartitioned(life upstream.Life, assignees int) bool {
+	return slices.Contains(topRanked(life, assignees, r.Routers, r.Lost), r.Self)
 }
 
-// isolated is the number of lost routers that a life is assigned to when they are cut off.
-func (r *Roster) isolated(life upstream.Life, assignees int) int {
+// countPartitionedAssignees returns the number of lost routers that a life is assigned to if they
+// are partitioned.
+func (r *Roster) countPartitionedAssignees(life upstream.Life, assignees int) int {
 	if len(r.Lost) == 0 {
 		return 0
 	}
 	n := 0
-	for _, router := range first(life, assignees, r.Routers, r.Lost) {
+	for _, router := range topRanked(life, assignees, r.Routers, r.Lost) {
 		if slices.Contains(r.Lost, router) {
 			n++
 		}
@@ -53,8 +56,8 @@
 	return n
 }
 
-// first gives the n routers of some lists that rank first for a life.
-func first(life upstream.Life, n int, lists ...[]string) []string {
+// topRanked returns the n routers of the lists that rank highest for a life.
+func topRanked(life upstream.Life, n int, lists ...[]string) []string {
 	type ranked struct {
 		router string
 		score  uint64
--- a/pkg/warmup/split.go
+++ b/pkg/warmup/split.go
@@ -1,54 +1,55 @@
 package warmup
 
 const (
-	// maxAssignees bounds the routers that an upstream is assigned to. With fewer of them it would
-	// depend on which routers callers choose whether the upstream gets anything.
+	// maxAssignees bounds the routers that an upstream is assigned to. With fewer of them, an
+	// upstream might get no requests because callers happen to use other routers.
 	maxAssignees = 8
-	// reserve is the number of assignees' parts that nobody uses, for routers that wrongly take
-	// themselves for assignees.
-	reserve = 2
-	// isolatedShare is the share of an assignee's part of the whole bound that a router which is cut off
-	// uses. The rest is for the assignees of those that see each other.
-	isolatedShare = 0.6
+	// reservedShares is the number of assignees' shares that stay unused, for routers that wrongly
+	// consider themselves assignees.
+	reservedShares = 2
+	// partitionedShare is the fraction of an equal share of the limit that a partitioned router
+	// uses. The rest is for the assignees of the routers that see each other.
+	partitionedShare = 0.6
 )
 
-// parts is how a bound on the requests of a second is divided.
-type parts struct {
-	most int
-	// assignees is the number of routers that an upstream is assigned to, assignee what each of them
-	// sends at most, isolated what a router sends that is cut off.
-	assignees, assignee, isolated int
+// allocation is the division of a limit on requests per second.
+type allocation struct {
+	limit int
+	// assignees is the number of routers that an upstream is assigned to, assigneeLimit the limit
+	// of each of them, partitionedLimit the limit of a partitioned router.
+	assignees, assigneeLimit, partitionedLimit int
 }
 
-// split divides a bound of most requests a second among the assignees of a fleet in which known
-// routers are known, lost ones included. All routers of a fleet divide it alike, however many
-// of the others they know.
-func split(most, known int) parts {
+// splitLimit divides a limit of requests per second among the assignees in a fleet of known
+// routers, lost ones included. All routers of a fleet arrive at the same division, however many of
+// the others they see.
+func splitLimit(limit, known int) allocation {
 	if known == 1 {
-		return parts{most: most, assignees: 1, assignee: most}
+		return allocation{limit: limit, assignees: 1, assigneeLimit: limit}
 	}
-	assignees := mostUsed(most)
-	return parts{most: most, assignees: assignees, assignee: partOf(most, assignees), isolated: int(isolatedShare * float64(most) / float64(assignees))}
+	assignees := bestAssigneeCount(limit)
+	return allocation{limit: limit, assignees: assignees, assigneeLimit: assigneeShare(limit, assignees), partitionedLimit: int(partitionedShare * float64(limit) / float64(assignees))}
 }
 
-// partOf is what each of so many assignees sends at most.
-func partOf(most, assignees int) int { return max(min(1, most), most/(assignees+reserve)) }
+// assigneeShare returns the share of each assignee in a limit of n.
+func assigneeShare(n, assignees int) int { return max(min(1, n), n/(assignees+reservedShares)) }
 
-// mostUsed is the number of assignees that use most of a bound together.
-func mostUsed(most int) int {
+// bestAssigneeCount returns the number of assignees that together use most of a limit.
+func bestAssigneeCount(limit int) int {
 	best := 1
-	for assignees := 2; assignees <= min(maxAssignees, most-reserve); assignees++ {
-		if assignees*partOf(most, assignees) >= best*partOf(most, best) {
+	for assignees := 2; assignees <= min(maxAssignees, limit-reservedShares); assignees++ {
+		if assignees*assigneeShare(limit, assignees) >= best*assigneeShare(limit, best) {
 			best = assignees
 		}
 	}
 	return best
 }
 
-// beside is what an assignee sends at most beside so many isolated routers.
+// limitBeside returns the limit of an assignee while the given number of partitioned routers may
+// send as well.
 //
-// Guard: routers that are cut off hear neither of an evacuation nor of its end, and take the
-// upstreams of the zone for warm.
-func (p parts) beside(isolated int) int {
-	return min(p.assignee, (p.most-isolated*p.isolated)/p.assignees)
+// Partitioned routers hear neither of an evacuation nor of its end, and treat the upstreams of the
+// zone as warm.
+func (p allocation) limitBeside(isolated int) int {
+	return min(p.assigneeLimit, (p.limit-isolated*p.partitionedLimit)/p.assignees)
 }
