--- a/pkg/admission/conn.go
+++ b/pkg/admission/conn.go
@@ -91,7 +91,7 @@
 	return max(n, 0)
 }
 
-// ReleaseReadSlot releases the connection's read slot once its request is read.
+// Leave releases the connection's read slot once its request is read.
 func (c *Conn) Leave() { c.listener.queue.release(c.waiter, c.listener.now()) }
 
 // Close closes the connection, unless the refuser owns it.
--- a/pkg/admission/handover.go
+++ b/pkg/admission/handover.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetHandover sets the function that hands connections over to other routers. It is tried before
+// PassOn sets the function that hands connections over to other routers. It is tried before
 // admission while handoverOn returns true, and otherwise before a connection is shed. It must be
 // called before the first Accept.
 func (l *Listener) PassOn(handOver func(fd int, now time.Time) bool, handoverOn func() bool) {
--- a/pkg/handover/counts.go
+++ b/pkg/handover/counts.go
@@ -1,6 +1,6 @@
 package handover
 
-// OpenConns returns the number of connections that are being relayed.
+// Open returns the number of connections that are being relayed.
 func (r *Relay) Open() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/handover/target.go
+++ b/pkg/handover/target.go
@@ -11,7 +11,7 @@
 type Target struct {
 	// Addr is the router's address as IP:port.
 	Addr string
-	// Cores is the number of CPU cores of the router; 0 when it doesn't report it.
+	// Power is the number of CPU cores of the router; 0 when it doesn't report it.
 	Power float64
 	// Config is the version of the router's configuration.
 	Config int64
--- a/pkg/warmup/gate.go
+++ b/pkg/warmup/gate.go
@@ -46,7 +46,7 @@
 		restored: make(map[string]time.Time)}
 }
 
-// SetLimit sets the limit for a cold upstream: factor times what its service declares, plus slack
+// Tune sets the limit for a cold upstream: factor times what its service declares, plus slack
 // requests per second.
 func (g *Gate) Tune(factor, slack float64) {
 	g.mu.Lock()
@@ -54,7 +54,7 @@
 	g.factor, g.slack = factor, slack
 }
 
-// SetUpstreams sets the list of upstreams.
+// Follow sets the list of upstreams.
 func (g *Gate) Follow(set *upstream.Set, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,7 +100,7 @@
 	return 1
 }
 
-// MarkRestored records that the evacuation of zones ended at the given time. Their upstreams are
+// Restore records that the evacuation of zones ended at the given time. Their upstreams are
 // cold from then on whatever their entries say, as entries from before may be read later.
 func (g *Gate) Restore(zones []string, at time.Time) {
 	g.mu.Lock()
@@ -135,7 +135,7 @@
 	return at >= g.warmBy.Load() && (restored == 0 || at >= restored+int64(s.Warmup))
 }
 
-// IsCold reports whether an upstream of a service is cold.
+// Cold reports whether an upstream of a service is cold.
 func (g *Gate) Cold(in *upstream.Instance, s *routing.Service, now time.Time) bool {
 	if s == nil || g.allWarm(s, now) {
 		return false
@@ -149,12 +149,12 @@
 	return l != nil && l.cold(s.Warmup, now)
 }
 
-// Allows reports whether this router may send a request to an upstream of a service.
+// Open reports whether this router may send a request to an upstream of a service.
 func (g *Gate) Open(in *upstream.Instance, s *routing.Service, now time.Time) bool {
 	return g.check(in, s, now, false)
 }
 
-// Acquire reports the same just before the request is sent, and counts the request.
+// Take reports the same just before the request is sent, and counts the request.
 func (g *Gate) Take(in *upstream.Instance, s *routing.Service, now time.Time) bool {
 	return g.check(in, s, now, true)
 }
--- a/pkg/warmup/gate_test.go
+++ b/pkg/warmup/gate_test.go
@@ -15,7 +15,7 @@
 
 var quiet = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 
-// coldService is a service with a limit of 20 requests per second (coldLimit) for each cold
+// engines is a service with a limit of 20 requests per second (bound) for each cold
 // upstream, with factor 1.5 and slack 5.
 var coldService = &routing.Service{Name: "llm", Warmup: 3 * time.Second, ColdPerSecond: 10}
 
@@ -37,12 +37,12 @@
 	return g
 }
 
-// singleRouter returns a fleet of one router that has been running since the given time.
+// alone returns a fleet of one router that has been running since the given time.
 func singleRouter(since time.Time) *fleet {
 	return &fleet{roster: Roster{Self: "r", Routers: []string{"r"}, Since: since, Joined: since, Known: 1}, current: true}
 }
 
-// sendAtOnce returns how many of n simultaneous requests the gate allows.
+// sent returns how many of n simultaneous requests the gate allows.
 func sent(g *Gate, in upstream.Instance, n int, now time.Time) int {
 	passed := 0
 	for range n {
@@ -190,7 +190,7 @@
 	}
 }
 
-// totalSent returns how many requests all routers of a fleet send to a cold upstream, and how many
+// usedBy returns how many requests all routers of a fleet send to a cold upstream, and how many
 // routers send any.
 func usedBy(size int) (total, assignees int) {
 	now := time.Now()
--- a/pkg/warmup/isolated_test.go
+++ b/pkg/warmup/isolated_test.go
@@ -13,7 +13,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// partitionedFleet returns a fleet that is partitioned into groups. Only the routers of group 0
+// cutFleet returns a fleet that is partitioned into groups. Only the routers of group 0
 // reach the store.
 func cutFleet(groups []int, now time.Time) []*fleet {
 	since := now.Add(-time.Minute)
--- a/pkg/warmup/roster.go
+++ b/pkg/warmup/roster.go
@@ -16,7 +16,7 @@
 	// silent.
 	Self          string
 	Routers, Lost []string
-	// ChangedAt is when Routers last changed, JoinedAt since when this router has seen at least
+	// Since is when Routers last changed, Joined since when this router has seen at least
 	// half of the known routers.
 	Since, Joined time.Time
 	// Known is the number of known routers, including lost ones and this one.
