--- a/pkg/keeper/basic_test.go
+++ b/pkg/keeper/basic_test.go
@@ -17,51 +17,52 @@
 	}
 }
 
-// bed drives one keeper in virtual time.
-type bed struct {
+// harness drives one keeper in virtual time.
+type harness struct {
 	t   *testing.T
 	k   *Keeper
 	now time.Time
 	seq uint64
 }
 
-var epoch = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-func newBed(t *testing.T, o Options, ups ...resource.Upstream) *bed {
-	b := &bed{t: t, k: New(o, nil, epoch), now: epoch}
-	b.k.Configure(ups, map[string]float64{"a": 1, "b": 1, "c": 1}, epoch)
-	equal(t, 0, len(b.next()))
-	return b
+func newHarness(t *testing.T, o Options, ups ...resource.Upstream) *harness {
+	h := &harness{t: t, k: New(o, nil, startTime), now: startTime}
+	h.k.Configure(ups, map[string]float64{"a": 1, "b": 1, "c": 1}, startTime)
+	equal(t, 0, len(h.next()))
+	return h
 }
 
 func engine(name string, slots int) resource.Upstream {
 	return resource.Upstream{Meta: resource.Meta{Name: name}, Slots: slots}
 }
 
-func (b *bed) next() []Out { return b.k.Next(b.now) }
+func (h *harness) next() []Out { return h.k.Next(h.now) }
 
-// pass lets time go by as the duty does, and returns what came out.
-func (b *bed) pass(d time.Duration) (out []Out) {
+// advance moves time on, calls Next every 100 ms as the event loop does, and returns all
+// messages.
+func (h *harness) advance(d time.Duration) (out []Out) {
 	for step := 100 * time.Millisecond; d > 0; d -= step {
-		b.now = b.now.Add(min(step, d))
-		out = append(out, b.next()...)
+		h.now = h.now.Add(min(step, d))
+		out = append(out, h.next()...)
 	}
 	return out
 }
 
-func (b *bed) claim(router string, inc wire.Incarnation, id wire.ClaimID, org string) {
-	b.k.Claim(wire.RouterID(router), inc, wire.Claim{ID: id, Org: org}, b.now)
+func (h *harness) claim(router string, inc wire.Incarnation, id wire.ClaimID, org string) {
+	h.k.Claim(wire.RouterID(router), inc, wire.Claim{ID: id, Org: org}, h.now)
 }
 
 // report sends a Full report.
-func (b *bed) report(router string, r wire.Report) wire.CellState {
-	b.seq++
-	r.Seq, r.Full = b.seq, true
-	return b.k.Report(wire.RouterID(router), 1, r, b.now)
+func (h *harness) report(router string, r wire.Report) wire.CellState {
+	h.seq++
+	r.Seq, r.Full = h.seq, true
+	return h.k.Report(wire.RouterID(router), 1, r, h.now)
 }
 
-func (b *bed) done(router string, id wire.ClaimID, upstream string, cost wire.Units) {
-	b.k.Done(wire.RouterID(router), 1, wire.Done{ID: id, Upstream: upstream, Cost: cost}, b.now)
+func (h *harness) done(router string, id wire.ClaimID, upstream string, cost wire.Units) {
+	h.k.Done(wire.RouterID(router), 1, wire.Done{ID: id, Upstream: upstream, Cost: cost}, h.now)
 }
 
 func grants(out []Out) (ids []wire.ClaimID) {
@@ -83,14 +84,14 @@
 }
 
 func TestGrantsUpToSlotsInFairOrder(t *testing.T) {
-	b := newBed(t, Options{}, engine("u", 2))
+	h := newHarness(t, Options{}, engine("u", 2))
 	for id := range wire.ClaimID(4) {
-		b.claim("r1", 1, id, "a")
+		h.claim("r1", 1, id, "a")
 	}
-	b.claim("r2", 1, 0, "b")
-	equal(t, []wire.ClaimID{0, 0}, grants(b.next()))
-	b.done("r1", 0, "u", 30)
-	equal(t, []wire.ClaimID{1}, grants(b.next()))
-	equal(t, wire.Units(30), b.k.Virtual("a"))
-	equal(t, b.k.mean, b.k.order.Expected("a"))
+	h.claim("r2", 1, 0, "b")
+	equal(t, []wire.ClaimID{0, 0}, grants(h.next()))
+	h.done("r1", 0, "u", 30)
+	equal(t, []wire.ClaimID{1}, grants(h.next()))
+	equal(t, wire.Units(30), h.k.Virtual("a"))
+	equal(t, h.k.meanCost, h.k.order.Expected("a"))
 }
--- a/pkg/keeper/claim.go
+++ b/pkg/keeper/claim.go
@@ -11,21 +11,21 @@
 	maxCost = 1e7
 )
 
-// Claim takes in a claim, or one more copy of it. A copy of a granted claim is answered
-// by the same grant again, since the first may have been lost; a copy of an ended claim
-// was late and is ignored.
+// Claim processes a claim or a further copy of it. A copy of a granted claim is answered
+// with the same grant, since the first grant may have been lost. A copy of an ended claim
+// is ignored: it was delayed on its way.
 func (k *Keeper) Claim(from wire.RouterID, inc wire.Incarnation, w wire.Claim, now time.Time) {
-	r := k.life(from, inc, now)
-	if r == nil || k.recent.final(r.key(w.ID)) {
+	r := k.routerFor(from, inc, now)
+	if r == nil || k.ended.isFinal(r.key(w.ID)) {
 		return
 	}
 	if s := r.slots[w.ID]; s != nil {
-		k.renew(r, s, now)
+		k.resendGrant(r, s, now)
 		return
 	}
 	if c := r.waiting[w.ID]; c != nil {
-		k.expiry.set(c, until(w, now))
-		c.omitted = 0
+		k.expiry.set(c, expiryOf(w, now))
+		c.omissions = 0
 		return
 	}
 	k.admit(r, w, now)
@@ -33,59 +33,60 @@
 
 func (k *Keeper) admit(r *router, w wire.Claim, now time.Time) {
 	c := &claim{
-		key:   r.key(w.ID),
-		Claim: w,
-		since: now.Add(-time.Duration(w.AgeMs) * time.Millisecond),
-		until: until(w, now),
+		claimKey:     r.key(w.ID),
+		Claim:        w,
+		waitingSince: now.Add(-time.Duration(w.AgeMs) * time.Millisecond),
+		expiresAt:    expiryOf(w, now),
 
-		expiryAt: noExpiry,
+		heapIndex: notInHeap,
 	}
 	if reason, refused := k.refusal(c); refused {
-		k.refuse(c.key, reason, k.retryMs(w.Org, now))
+		k.refuse(c.claimKey, reason, k.retryMs(w.Org, now))
 		return
 	}
-	k.recent.forget(c.key)
-	k.headroom.claimed[c.Org] = now
+	k.ended.remove(c.claimKey)
+	k.headroom.lastClaims[c.Org] = now
 	k.enqueue(r, c)
 }
 
 func (k *Keeper) enqueue(r *router, c *claim) {
-	c.entry = &fair.Entry[*claim]{Org: c.Org, Class: c.Class, Isolated: k.deaths(c) > 0, WaitingSince: c.since, Value: c}
+	c.entry = &fair.Entry[*claim]{Org: c.Org, Class: c.Class, Isolated: k.crashes(c) > 0, WaitingSince: c.waitingSince, Value: c}
 	r.waiting[c.id] = c
 	k.order.Push(c.entry)
-	k.expiry.set(c, c.until)
+	k.expiry.set(c, c.expiresAt)
 }
 
 func (k *Keeper) refusal(c *claim) (wire.RefusalReason, bool) {
 	switch {
-	case k.leaving:
+	case k.handedOver:
 		return wire.RefusedLeaving, true
-	case k.deaths(c) >= k.o.MaxDeaths:
+	case k.crashes(c) >= k.options.MaxDeaths:
 		return wire.RefusedQuarantine, true
-	case k.hopeless(c):
+	case k.unservable(c):
 		return wire.RefusedNoUpstream, true
-	case k.full(c.Org):
+	case k.queueFull(c.Org):
 		return wire.RefusedBacklog, true
 	}
 	return 0, false
 }
 
-// full keeps the keeper's memory bounded. When all organisations together are at the
-// bound, one that waits with less than its equal part is still let in: a flood by one
-// must not refuse the others.
-func (k *Keeper) full(org string) bool {
+// queueFull bounds the keeper's memory. When the total is at its bound, an organisation
+// with less than an equal part of it may still add claims, so that one organisation's flood
+// doesn't shut out the others.
+func (k *Keeper) queueFull(org string) bool {
 	waiting := k.order.Waiting(org)
-	if waiting >= k.o.MaxWaitingOrg {
+	if waiting >= k.options.MaxWaitingOrg {
 		return true
 	}
-	part := k.o.MaxWaiting / (k.order.Backlogged() + 1)
-	return k.order.Len() >= k.o.MaxWaiting && waiting >= part
+	part := k.options.MaxWaiting / (k.order.Backlogged() + 1)
+	return k.order.Len() >= k.options.MaxWaiting && waiting >= part
 }
 
-// Cancel withdraws a claim. It may arrive before the claim itself, and after the grant
-// was sent: the router then drops the claim and doesn't start (case 1 of the rule).
+// Cancel withdraws a claim. It may arrive before the claim itself, or after the grant was
+// sent. In the second case the router drops the claim and doesn't start it, see case 1 in
+// the package documentation.
 func (k *Keeper) Cancel(from wire.RouterID, inc wire.Incarnation, w wire.Cancel, now time.Time) {
-	r := k.life(from, inc, now)
+	r := k.routerFor(from, inc, now)
 	if r == nil {
 		return
 	}
@@ -98,29 +99,29 @@
 		}
 		k.release(s, 0)
 	}
-	k.recent.add(r.key(w.ID), ended{final: true})
+	k.ended.add(r.key(w.ID), endedClaim{final: true})
 }
 
-// drop takes a waiting claim out.
+// drop removes a waiting claim.
 func (k *Keeper) drop(c *claim) {
 	k.order.Remove(c.entry)
 	k.expiry.remove(c)
 	if r := k.routers[c.router]; r != nil && r.incarnation == c.incarnation {
 		delete(r.waiting, c.id)
 	}
-	if k.emptiedFor == c {
-		k.emptied, k.emptiedFor = nil, nil
+	if k.drainingFor == c {
+		k.draining, k.drainingFor = nil, nil
 	}
 }
 
-func (k *Keeper) deaths(c *claim) int {
+func (k *Keeper) crashes(c *claim) int {
 	if c.Content == 0 {
 		return 0
 	}
-	return k.o.Deaths(c.Content)
+	return k.options.Deaths(c.Content)
 }
 
-func until(w wire.Claim, now time.Time) time.Time {
+func expiryOf(w wire.Claim, now time.Time) time.Time {
 	if w.WaitMs == 0 {
 		return time.Time{}
 	}
--- a/pkg/keeper/claimstate.go
+++ b/pkg/keeper/claimstate.go
@@ -7,26 +7,26 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// key names one claim over all routers and their lives.
-type key struct {
+// claimKey identifies a claim across routers and their incarnations.
+type claimKey struct {
 	router      wire.RouterID
 	incarnation wire.Incarnation
 	id          wire.ClaimID
 }
 
-// claim is a claim that the keeper holds, waiting or granted.
+// claim is a claim that waits or holds a slot.
 type claim struct {
-	key
+	claimKey
 	wire.Claim
-	since time.Time // when the request began to wait, as far as the claim tells
-	until time.Time // not worth granting from then on; zero for no bound
-	entry *fair.Entry[*claim]
-	// expiryAt is the place in Keeper.expiry, noExpiry outside.
-	expiryAt int
-	// omitted counts the Full reports in a row that didn't list the claim.
-	omitted int
+	waitingSince time.Time // when the request began to wait, computed from the claim's age
+	expiresAt    time.Time // not granted from then on; zero for no bound
+	entry        *fair.Entry[*claim]
+	// heapIndex is the index in Keeper.expiry, or notInHeap.
+	heapIndex int
+	// omissions counts consecutive Full reports that didn't list the claim.
+	omissions int
 }
 
 func (c *claim) expired(now time.Time) bool {
-	return !c.until.IsZero() && !now.Before(c.until)
+	return !c.expiresAt.IsZero() && !now.Before(c.expiresAt)
 }
--- a/pkg/keeper/configure.go
+++ b/pkg/keeper/configure.go
@@ -10,17 +10,17 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Configure sets the cell's upstreams and the weights of all organisations. What was
-// learnt about upstreams that stay is kept.
+// Configure sets the cell's upstreams and the weights of all organisations. Upstreams that
+// remain keep their running counts and limiters.
 func (k *Keeper) Configure(ups []resource.Upstream, weights map[string]float64, now time.Time) {
 	k.configured = true
-	for _, u := range k.ranked {
+	for _, u := range k.declared {
 		u.declared = false
 	}
 	ups = slices.SortedFunc(slices.Values(ups), func(a, b resource.Upstream) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
-	k.ranked = make([]*upstream, 0, len(ups))
+	k.declared = make([]*upstream, 0, len(ups))
 	slotsOffset, maxOffset := 0, 0
 	for _, r := range ups {
 		slots := r.Slots
@@ -30,15 +30,15 @@
 		u := k.upstream(r.Name)
 		u.declared, u.leaving = true, r.Leaving
 		u.limiter.Configure(
-			share(slots, slotsOffset, k.o.Slice, k.o.Slices),
-			share(r.MaxSlots, maxOffset, k.o.Slice, k.o.Slices))
+			sliceOf(slots, slotsOffset, k.options.Slice, k.options.Slices),
+			sliceOf(r.MaxSlots, maxOffset, k.options.Slice, k.options.Slices))
 		slotsOffset += slots
 		maxOffset += r.MaxSlots
-		k.ranked = append(k.ranked, u)
+		k.declared = append(k.declared, u)
 	}
 	k.pruneUpstreams()
-	k.weigh(weights)
-	k.refuseHopeless(now)
+	k.setWeights(weights)
+	k.refuseUnservable(now)
 }
 
 func (k *Keeper) upstream(name string) *upstream {
@@ -58,8 +58,8 @@
 	}
 }
 
-// weigh sets the weights and drops the counters of organisations that were removed.
-func (k *Keeper) weigh(weights map[string]float64) {
+// setWeights sets the weights and drops the counters of removed organisations.
+func (k *Keeper) setWeights(weights map[string]float64) {
 	for org, w := range weights {
 		k.order.SetWeight(org, w)
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Mark takes in that an upstream leaves, or came back. Higher generations win, so a
-// stale mark that comes late doesn't bring a leaving upstream back.
+// Mark records that an upstream is leaving or has come back. The highest generation wins,
+// so a delayed mark doesn't bring a leaving upstream back.
 func (k *Keeper) Mark(m wire.UpstreamMark, now time.Time) {
 	if old, ok := k.marks.Get(m.Upstream); ok && m.Generation <= old.Generation {
 		return
@@ -87,7 +87,7 @@
 	}
 	u.marked = m.Leaving
 	if m.Leaving {
-		k.refuseHopeless(now)
+		k.refuseUnservable(now)
 	}
 }
 
@@ -96,23 +96,23 @@
 	return m.Leaving
 }
 
-// refuseHopeless turns down waiting claims that no upstream of the cell can take.
-func (k *Keeper) refuseHopeless(now time.Time) {
+// refuseUnservable refuses the waiting claims that no upstream of the cell can take.
+func (k *Keeper) refuseUnservable(now time.Time) {
 	for _, id := range sortedRouters(k.routers) {
 		for _, c := range sortedClaims(k.routers[id].waiting) {
-			if k.hopeless(c) {
+			if k.unservable(c) {
 				k.drop(c)
-				k.refuse(c.key, wire.RefusedNoUpstream, 0)
+				k.refuse(c.claimKey, wire.RefusedNoUpstream, 0)
 			}
 		}
 	}
 }
 
-func (k *Keeper) hopeless(c *claim) bool {
+func (k *Keeper) unservable(c *claim) bool {
 	if !k.configured {
 		return false
 	}
-	for _, u := range k.ranked {
+	for _, u := range k.declared {
 		if u.usable() && !slices.Contains(c.Exclude, u.name) {
 			return false
 		}
--- a/pkg/keeper/expiry.go
+++ b/pkg/keeper/expiry.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// expiry holds the waiting claims by the time from which they aren't worth granting, so
-// that thousands of waiting claims cost a sweep nothing until they are due.
-type expiry []*claim
+// expiryHeap is a heap of waiting claims by the time when they expire, so that a sweep does
+// no work for claims that haven't expired.
+type expiryHeap []*claim
 
-func (x expiry) Len() int           { return len(x) }
-func (x expiry) Less(i, j int) bool { return x[i].until.Before(x[j].until) }
+func (x expiryHeap) Len() int           { return len(x) }
+func (x expiryHeap) Less(i, j int) bool { return x[i].expiresAt.Before(x[j].expiresAt) }
 
-func (x expiry) Swap(i, j int) {
+func (x expiryHeap) Swap(i, j int) {
 	x[i], x[j] = x[j], x[i]
-	x[i].expiryAt, x[j].expiryAt = i, j
+	x[i].heapIndex, x[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (x *expiry) Push(v any) {
+func (x *expiryHeap) Push(v any) {
 	c := v.(*claim)
-	c.expiryAt = len(*x)
+	c.heapIndex = len(*x)
 	*x = append(*x, c)
 }
 
 // Pop implements heap.Interface.
-func (x *expiry) Pop() any {
+func (x *expiryHeap) Pop() any {
 	old := *x
 	c := old[len(old)-1]
 	old[len(old)-1] = nil
 	*x = old[:len(old)-1]
-	c.expiryAt = noExpiry
+	c.heapIndex = notInHeap
 	return c
 }
 
-// noExpiry is the place of a claim that isn't in the heap.
-const noExpiry = -1
+// notInHeap is the heapIndex of a claim that isn't in the heap.
+const notInHeap = -1
 
-// set enters, moves or takes out a claim after its until changed.
-func (x *expiry) set(c *claim, until time.Time) {
-	c.until = until
+// set adds, moves or removes a claim as its expiry changes; the zero time removes it.
+func (x *expiryHeap) set(c *claim, expiresAt time.Time) {
+	c.expiresAt = expiresAt
 	switch {
-	case until.IsZero():
+	case expiresAt.IsZero():
 		x.remove(c)
-	case c.expiryAt == noExpiry:
+	case c.heapIndex == notInHeap:
 		heap.Push(x, c)
 	default:
-		heap.Fix(x, c.expiryAt)
+		heap.Fix(x, c.heapIndex)
 	}
 }
 
-func (x *expiry) remove(c *claim) {
-	if c.expiryAt != noExpiry {
-		heap.Remove(x, c.expiryAt)
+func (x *expiryHeap) remove(c *claim) {
+	if c.heapIndex != notInHeap {
+		heap.Remove(x, c.heapIndex)
 	}
 }
 
-// due returns a claim that expired, nil when there is none.
-func (x expiry) due(now time.Time) *claim {
+// due returns an expired claim, nil when there is none.
+func (x expiryHeap) due(now time.Time) *claim {
 	if len(x) > 0 && x[0].expired(now) {
 		return x[0]
 	}
--- a/pkg/keeper/headroom.go
+++ b/pkg/keeper/headroom.go
@@ -6,97 +6,100 @@
 )
 
 const (
-	// farOver is from how many times its share on an organisation leaves the headroom
-	// alone. Organisations that merely take up what others leave unused stay under it,
-	// so ordinary competition idles no slot.
-	farOver = 3
-	// fewPart is the part of the slots under which no organisation is far over its share:
-	// among hundreds of organisations a share is less than one slot.
-	fewPart = 8
-	// headroomPart bounds the headroom: one slot in so many.
-	headroomPart = 16
-	// headroomMiss is the part of the others' requests that may find no slot free.
-	headroomMiss = 0.01
-	// activeFor is how long after its last claim an organisation has a share.
+	// farOverFactor is the multiple of its share from which an organisation may not use the
+	// headroom. Organisations that only use what others leave free stay below it, so
+	// ordinary competition leaves no slot idle.
+	farOverFactor = 3
+	// fewSlotsDivisor gives the fraction of the slots below which no organisation counts as
+	// far over its share: with hundreds of organisations a share is less than one slot.
+	fewSlotsDivisor = 8
+	// headroomDivisor bounds the headroom to this fraction of the slots.
+	headroomDivisor = 16
+	// maxMissRatio is the fraction of the other organisations' requests that may find no
+	// free slot.
+	maxMissRatio = 0.01
+	// activeFor is how long an organisation has a share after its last claim.
 	activeFor = 5 * time.Second
-	// sharesEvery bounds the work of looking through all active organisations.
-	sharesEvery = 500 * time.Millisecond
+	// sharesInterval limits how often all active organisations are scanned.
+	sharesInterval = 500 * time.Millisecond
 )
 
 // headroom keeps a few slots free from organisations far over their share.
 //
-// The failure it guards against: one organisation floods the cell and holds every slot
-// that the others leave. Whoever comes then is next in the fair order and still waits for
-// some request to end; it shows in the others' first tokens, several times as late at the
-// 99th percentile. With some slots free they start at once. It holds because the slots
-// are refused to the flooding organisation only: all others may take them, so none is
-// idle while an organisation within its share waits.
+// The failure it guards against: one organisation floods the cell and holds every slot that
+// the others leave. A request of another organisation is next in the fair order and still
+// waits until some request ends, and the 99th percentile of the others' time to first token
+// grows several times over. With a few free slots they start at once. Only the flooding
+// organisation is refused these slots, so none is idle while an organisation within its
+// share waits.
 type headroom struct {
-	enabled bool
-	claimed map[string]time.Time // last new claim of each organisation
-	// weights sums up those of the active organisations, slots the cell's limits; both
-	// are up to sharesEvery old.
-	weights float64
-	slots   int
-	renewAt time.Time
-	// light counts grants to organisations that aren't far over their share.
-	light rate
+	enabled    bool
+	lastClaims map[string]time.Time // each organisation's last new claim
+	// totalWeight is the sum of the active organisations' weights, totalSlots the sum of
+	// the upstreams' limits; both are up to sharesInterval old.
+	totalWeight float64
+	totalSlots  int
+	refreshAt   time.Time
+	// lightGrants is the rate of grants to organisations that aren't far over their share.
+	lightGrants rate
 }
 
-// KeepHeadroom switches the headroom on or off.
+// KeepHeadroom enables or disables the headroom.
 func (k *Keeper) KeepHeadroom(on bool) { k.headroom.enabled = on }
 
-// GrantAhead sets how many grants go out beyond the limit of each upstream, see Options.
-func (k *Keeper) GrantAhead(n int) { k.o.GrantAhead = n }
+// GrantAhead sets Options.GrantAhead.
+func (k *Keeper) GrantAhead(n int) { k.options.GrantAhead = n }
 
-// refreshShares works out what the organisations' shares follow from.
+// refreshShares updates totalWeight and totalSlots and forgets inactive organisations.
 func (k *Keeper) refreshShares(now time.Time) {
 	h := &k.headroom
-	if now.Before(h.renewAt) {
+	if now.Before(h.refreshAt) {
 		return
 	}
-	h.renewAt = now.Add(sharesEvery)
-	h.weights, h.slots = 0, 0
-	for org, at := range h.claimed {
+	h.refreshAt = now.Add(sharesInterval)
+	h.totalWeight, h.totalSlots = 0, 0
+	for org, at := range h.lastClaims {
 		if now.Sub(at) > activeFor && k.orgSlots[org] == 0 && k.order.Waiting(org) == 0 {
-			delete(h.claimed, org)
+			delete(h.lastClaims, org)
 			continue
 		}
-		h.weights += k.order.Weight(org)
+		h.totalWeight += k.order.Weight(org)
 	}
-	for _, u := range k.ranked {
+	for _, u := range k.declared {
 		if u.usable() {
-			h.slots += u.limiter.Limit(now)
+			h.totalSlots += u.limiter.Limit(now)
 		}
 	}
 }
 
-// farOverShare says that the organisation holds at least farOver times its weighted share
-// of the slots among the active organisations, or half of all slots and its share, and
-// that it isn't one of many who hold a few each.
+// farOverShare reports whether an organisation is far over its weighted share of the slots
+// among the active organisations: it holds at least farOverFactor times its share, or at
+// least both its share and half of all slots, and it isn't one of many organisations with a
+// few slots each.
 func (k *Keeper) farOverShare(org string) bool {
 	h := &k.headroom
-	if !h.enabled || h.weights == 0 {
+	if !h.enabled || h.totalWeight == 0 {
 		return false
 	}
-	all := float64(h.slots)
-	share := all * k.order.Weight(org) / h.weights
-	return float64(k.orgSlots[org]) >= max(share, min(farOver*share, all/2), all/fewPart)
+	slots := float64(h.totalSlots)
+	share := slots * k.order.Weight(org) / h.totalWeight
+	return float64(k.orgSlots[org]) >= max(share, min(farOverFactor*share, slots/2), slots/fewSlotsDivisor)
 }
 
-// headroomSlots is the number of free slots to keep. Free slots are taken by the others'
-// requests and refilled by whatever ends; with a ratio of r between the two rates, n of
-// them are all in use for a part of r^n of the time. So a cell in which the others ask
-// for little keeps few, and one in which they ask for nothing keeps none.
+// headroomSlots returns the number of slots to keep free. Requests of the other
+// organisations take free slots, and ending requests free them again. With a ratio r
+// between the two rates, n free slots are all in use for a fraction r^n of the time. So the
+// headroom is small when the other organisations send few requests, and 0 when they send
+// none.
 func (k *Keeper) headroomSlots(now time.Time) int {
 	h := &k.headroom
 	if !h.enabled {
 		return 0
 	}
-	light, drained := h.light.perSecond(now), k.drained.perSecond(now)
-	most := h.slots / headroomPart
-	if light == 0 || light >= drained {
-		return min(most, int(math.Ceil(light))) // 0 when nobody asks
+	lightRate, endRate := h.lightGrants.perSecond(now), k.completions.perSecond(now)
+	maxHeadroom := h.totalSlots / headroomDivisor
+	if lightRate == 0 || lightRate >= endRate {
+		return min(maxHeadroom, int(math.Ceil(lightRate))) // 0 without requests
 	}
-	return min(most, int(math.Ceil(math.Log(headroomMiss)/math.Log(light/drained))))
+	return min(maxHeadroom, int(math.Ceil(math.Log(maxMissRatio)/math.Log(lightRate/endRate))))
 }
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -11,84 +11,87 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Bounds of what is remembered.
+// Bounds of the keeper's caches.
 const (
 	maxPrefixes = 4096  // prompt prefixes with the upstream that served them last
-	maxMarks    = 16384 // marks of upstreams, also of other cells
-	maxRecent   = 8192  // ended claims: minutes of a cell's work, where frames are late by seconds
+	maxMarks    = 16384 // marks of upstreams, including those of other cells
+	maxEnded    = 8192  // ended claims: minutes of a cell's work, while frames are seconds late at most
 )
 
-// Keeper orders one cell.
+// Keeper grants the slots of one cell.
 type Keeper struct {
-	o         Options
-	order     *fair.Order[*claim]
-	expiry    expiry
-	upstreams map[string]*upstream
-	ranked    []*upstream // the declared ones by name
-	marks     *simplelru.LRU[string, wire.UpstreamMark]
-	routers   map[wire.RouterID]*router
-	slots     map[key]*slot
-	orgSlots  map[string]int
-	recent    recent
-	heldBack  heldBack
-	prefixes  *simplelru.LRU[uint64, *upstream]
-	drained   rate
-	headroom  headroom
-	mean      wire.Units // cost of settled requests
-	outbox    []Out
-	granted   Granted
+	options     Options
+	order       *fair.Order[*claim]
+	expiry      expiryHeap
+	upstreams   map[string]*upstream
+	declared    []*upstream // in the configuration, sorted by name
+	marks       *simplelru.LRU[string, wire.UpstreamMark]
+	routers     map[wire.RouterID]*router
+	slots       map[claimKey]*slot
+	orgSlots    map[string]int
+	ended       endedCache
+	cooldown    crashCooldown
+	prefixes    *simplelru.LRU[uint64, *upstream]
+	completions rate
+	headroom    headroom
+	meanCost    wire.Units // moving average of the cost of served requests
+	outbox      []Out
+	grantCounts Granted
 
 	configured bool
-	leaving    bool
-	// settling is true from the start, or the end of a pause, until the routers reported.
-	settling   bool
-	settleEnds time.Time
-	// settleBegan is when settling began, lastFull when a router's first Full report came.
-	settleBegan, lastFull time.Time
-	expected              map[wire.RouterID]bool
-	lastNext              time.Time
-	nextSweep             time.Time
-	comparePacesAt        time.Time
-
-	// emptied is the upstream that gets no new work until emptiedFor can run there alone.
-	emptied    *upstream
-	emptiedFor *claim
+	handedOver bool
+	// takingOver is true from the start, or the end of a pause, until the routers have
+	// reported.
+	takingOver       bool
+	takeoverDeadline time.Time
+	// lastFirstReport is when a router's first Full report of this takeover last arrived.
+	takeoverStart, lastFirstReport time.Time
+	expectedRouters                map[wire.RouterID]bool
+	lastNext                       time.Time
+	nextSweep                      time.Time
+	compareSpeedsAt                time.Time
+
+	// draining is the upstream that gets no new work until drainingFor can run there alone.
+	draining    *upstream
+	drainingFor *claim
 }
 
-// New returns a keeper that settles: it grants nothing until all the alive routers sent
-// a Full report, or those of them that take part in the cell did, or Options.Settle has
-// passed.
+// New returns a keeper that is taking over the cell: it grants nothing until all alive
+// routers have sent a Full report, those that take part in the cell have sent one, or
+// Options.Settle has passed.
 func New(o Options, alive []wire.RouterID, now time.Time) *Keeper {
 	k := &Keeper{
-		o:         o.withDefaults(),
-		order:     fair.New[*claim](),
-		upstreams: make(map[string]*upstream),
-		marks:     newLRU[string, wire.UpstreamMark](maxMarks),
-		routers:   make(map[wire.RouterID]*router),
-		slots:     make(map[key]*slot),
-		orgSlots:  make(map[string]int),
-		recent:    newRecent(),
-		heldBack:  newHeldBack(),
-		prefixes:  newLRU[uint64, *upstream](maxPrefixes),
-		expected:  make(map[wire.RouterID]bool),
-		lastNext:  now,
-		mean:      firstMean,
-		headroom:  headroom{claimed: make(map[string]time.Time)},
+		options:         o.withDefaults(),
+		order:           fair.New[*claim](),
+		upstreams:       make(map[string]*upstream),
+		marks:           newLRU[string, wire.UpstreamMark](maxMarks),
+		routers:         make(map[wire.RouterID]*router),
+		slots:           make(map[claimKey]*slot),
+		orgSlots:        make(map[string]int),
+		ended:           newEndedCache(),
+		cooldown:        newCrashCooldown(),
+		prefixes:        newLRU[uint64, *upstream](maxPrefixes),
+		expectedRouters: make(map[wire.RouterID]bool),
+		lastNext:        now,
+		meanCost:        initialMeanCost,
+		headroom:        headroom{lastClaims: make(map[string]time.Time)},
 	}
 	for _, id := range alive {
-		k.expected[id] = true
+		k.expectedRouters[id] = true
 	}
-	k.settle(now)
+	k.startTakeover(now)
 	return k
 }
 
-// Settling says that the keeper still learns what runs and grants nothing.
-func (k *Keeper) Settling() bool { return k.settling }
+// Settling reports whether the keeper still collects reports of running work and grants
+// nothing.
+func (k *Keeper) Settling() bool { return k.takingOver }
 
-// Virtual returns an organisation's counter.
+// Virtual returns an organisation's virtual counter.
 func (k *Keeper) Virtual(org string) wire.Units { return k.order.Virtual(org) }
 
-// Gap returns the largest difference of counters among backlogged organisations.
+// Gap returns the largest difference between the virtual counters of backlogged
+// organisations.
 func (k *Keeper) Gap() wire.Units { return k.order.Gap() }
 
 // Backlog returns the number of waiting claims.
@@ -97,17 +100,17 @@
 // Slots returns the number of slots in use.
 func (k *Keeper) Slots() int { return len(k.slots) }
 
-// Spare returns the number of free slots, without those granted ahead or in reserve. The
-// headroom counts: most organisations may use it.
+// Spare returns the number of free slots, without those granted ahead and those reserved
+// for urgent claims. It includes the headroom, which most organisations may use.
 func (k *Keeper) Spare(now time.Time) int {
-	if k.settling || k.leaving {
+	if k.takingOver || k.handedOver {
 		return 0
 	}
 	n := 0
-	for _, u := range k.ranked {
+	for _, u := range k.declared {
 		n += u.free(now, 0)
 	}
-	return max(n-k.o.ReserveUrgent, 0)
+	return max(n-k.options.ReserveUrgent, 0)
 }
 
 func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
--- a/pkg/keeper/main_test.go
+++ b/pkg/keeper/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the same
-// verdict; -rapid.seed chooses another.
+// TestMain fixes the seed of the property tests, so that every run gives the same result;
+// -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/pkg/keeper/next.go
+++ b/pkg/keeper/next.go
@@ -7,32 +7,32 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Next returns the messages that are due: refusals, repeated grants, and new grants in
-// the fair order as long as slots are free. It must be called after every batch of
-// messages and at least once a report interval.
+// Next returns the messages that are due: refusals, repeated grants, and new grants in the
+// fair order while slots are free. It must be called after every batch of messages and at
+// least once per report interval.
 func (k *Keeper) Next(now time.Time) []Out {
-	k.resume(now)
-	k.settled(now)
-	if !k.settling {
+	k.detectPause(now)
+	k.checkTakeover(now)
+	if !k.takingOver {
 		k.sweep(now)
 	}
-	k.checkEmptied(now)
-	for !k.settling && !k.leaving && k.grantOne(now) {
+	k.checkDraining(now)
+	for !k.takingOver && !k.handedOver && k.grantOne(now) {
 	}
 	out := k.outbox
 	k.outbox = nil
 	return out
 }
 
-// grantOne handles the next claim in the fair order, false when no waiting claim can use
-// what is free.
+// grantOne handles the next claim in the fair order. It returns false when no waiting claim
+// can use a free slot.
 func (k *Keeper) grantOne(now time.Time) bool {
 	free := k.freeSlots(now)
 	if free == 0 || k.order.Len() == 0 {
 		return false
 	}
-	p := picker{k: k, now: now, urgentOnly: free <= k.o.ReserveUrgent}
-	p.withinShare = free <= k.o.ReserveUrgent+k.headroomSlots(now)
+	p := picker{k: k, now: now, urgentOnly: free <= k.options.ReserveUrgent}
+	p.withinShare = free <= k.options.ReserveUrgent+k.headroomSlots(now)
 	e := k.order.Pick(p.usable)
 	for _, s := range p.suspects {
 		k.order.Isolate(s)
@@ -40,17 +40,17 @@
 	if e == nil {
 		return len(p.suspects) > 0
 	}
-	k.take(e, &p, now)
+	k.handlePicked(e, &p, now)
 	return true
 }
 
-func (k *Keeper) take(e *fair.Entry[*claim], p *picker, now time.Time) {
+func (k *Keeper) handlePicked(e *fair.Entry[*claim], p *picker, now time.Time) {
 	c := e.Value
 	k.drop(c)
 	switch {
 	case c.expired(now):
-	case k.deaths(c) >= k.o.MaxDeaths:
-		k.refuse(c.key, wire.RefusedQuarantine, 0)
+	case k.crashes(c) >= k.options.MaxDeaths:
+		k.refuse(c.claimKey, wire.RefusedQuarantine, 0)
 	default:
 		k.grant(c, p.choice, p.alone, now)
 	}
@@ -59,39 +59,40 @@
 func (k *Keeper) grant(c *claim, u *upstream, alone bool, now time.Time) {
 	r := k.routers[c.router]
 	if !k.farOverShare(c.Org) {
-		k.headroom.light.add(now)
+		k.headroom.lightGrants.add(now)
 	}
-	k.granted.count(k.order.Contended(c.Org))
-	s := &slot{key: c.key, org: c.Org, claim: c, alone: alone, granted: now, expected: k.mean}
-	k.hold(r, s, u)
-	k.order.Expect(c.Org, s.expected)
+	k.grantCounts.count(k.order.Contended(c.Org))
+	s := &slot{claimKey: c.claimKey, org: c.Org, claim: c, alone: alone, grantedAt: now, expectedCost: k.meanCost}
+	k.addSlot(r, s, u)
+	k.order.Expect(c.Org, s.expectedCost)
 	if c.Prefix != 0 {
 		k.prefixes.Add(c.Prefix, u)
 	}
 	k.send(r, s, now)
 }
 
-// send gives the slot to its router. Each copy starts the lapse anew, on both sides:
-// the router counts from the report named by EchoSeq, which it sent before this.
+// send sends the grant of a slot to its router. Each copy restarts the TTL on both sides:
+// the router counts it from the sending of the report named by EchoSeq, which precedes the
+// grant.
 func (k *Keeper) send(r *router, s *slot, now time.Time) {
-	s.sent, s.news, s.expires, s.omitted = now, now, time.Time{}, false
+	s.lastSent, s.lastConfirmed, s.freeAt, s.omitted = now, now, time.Time{}, false
 	k.outbox = append(k.outbox, Out{To: r.id, Incarnation: r.incarnation, Grant: &wire.Grant{
 		ID:       s.id,
-		Cell:     k.o.Cell,
+		Cell:     k.options.Cell,
 		Upstream: s.upstream.name,
 		Virtual:  k.order.Virtual(s.org),
-		TTLMs:    uint32(k.o.TTL.Milliseconds()),
+		TTLMs:    uint32(k.options.TTL.Milliseconds()),
 		Alone:    s.alone,
-		EchoSeq:  r.seq,
+		EchoSeq:  r.lastSeq,
 	}})
 }
 
-// freeSlots counts the grants that all upstreams together can take now.
+// freeSlots returns the number of grants that all upstreams together can take now.
 func (k *Keeper) freeSlots(now time.Time) int {
 	n := 0
-	for _, u := range k.ranked {
-		if u != k.emptied || u.running == 0 {
-			n += u.free(now, k.o.GrantAhead)
+	for _, u := range k.declared {
+		if u != k.draining || u.running == 0 {
+			n += u.free(now, k.options.GrantAhead)
 		}
 	}
 	return n
--- a/pkg/keeper/occupy.go
+++ b/pkg/keeper/occupy.go
@@ -1,30 +1,30 @@
 package keeper
 
-// occupy counts the slot on an upstream.
+// occupy adds the slot to an upstream's running count.
 func (k *Keeper) occupy(s *slot, u *upstream) {
 	s.upstream = u
 	u.running++
 	if s.alone {
-		u.alone++
+		u.aloneSlots++
 	}
 }
 
-// vacate takes the slot off its upstream.
+// vacate removes the slot from its upstream's running count.
 func (k *Keeper) vacate(s *slot) {
 	u := s.upstream
 	u.running--
 	if s.alone {
-		u.alone--
+		u.aloneSlots--
 	}
 	if u.running == 0 && !u.declared {
 		delete(k.upstreams, u.name)
 	}
 }
 
-// hold enters a new slot.
-func (k *Keeper) hold(r *router, s *slot, u *upstream) {
+// addSlot registers a new slot.
+func (k *Keeper) addSlot(r *router, s *slot, u *upstream) {
 	k.occupy(s, u)
-	k.slots[s.key] = s
+	k.slots[s.claimKey] = s
 	r.slots[s.id] = s
 	k.orgSlots[s.org]++
 }
--- a/pkg/keeper/options.go
+++ b/pkg/keeper/options.go
@@ -6,43 +6,44 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Options of one keeper. Zero values take the defaults in brackets.
+// Options configures a keeper. Zero values mean the defaults in brackets.
 type Options struct {
 	Cell wire.CellID
-	// TTL is how long a grant may be started, on the router's clock [2 s].
+	// TTL is how long a router may start a grant, on the router's clock [2 s].
 	TTL time.Duration
-	// Margin is added where the keeper counts a TTL itself [TTL/4]: it covers clocks that
-	// run at different rates.
+	// Margin is added when the keeper itself counts a TTL [TTL/4]; it covers clock drift.
 	Margin time.Duration
 	// Report is the interval of the routers' reports [500 ms].
 	Report time.Duration
 	// Settle bounds how long a new keeper waits for Full reports [2 × Report].
 	Settle time.Duration
-	// Skew is how far apart routers learn that a cell's keeper changed [Report/2].
+	// Skew is the largest difference between the times at which routers learn of a new
+	// keeper [Report/2].
 	Skew time.Duration
-	// Silent is how long a slot is held without any news of it [TTL + Margin + 4 × Report].
+	// Silent is how long an unconfirmed slot is held [TTL + Margin + 4 × Report].
 	Silent time.Duration
-	// MaxWaiting bounds the waiting claims of all organisations [16384]; organisations
-	// under their equal part of it are still let in when it is reached, so that a flood
-	// doesn't shut the others out. The hard bound is twice this.
+	// MaxWaiting bounds the waiting claims of all organisations [16384]. When it is
+	// reached, organisations below an equal part of it may still add claims, so that a
+	// flood doesn't shut out the others. The hard bound is twice this value.
 	MaxWaiting int
 	// MaxWaitingOrg bounds the waiting claims of one organisation [4096].
 	MaxWaitingOrg int
 	// ReserveUrgent is the number of the cell's slots that only urgent claims of
-	// organisations within their share may take [0].
+	// organisations within their share may use [0].
 	ReserveUrgent int
-	// GrantAhead is the number of grants beyond the fixed limit of each upstream [0]: it
-	// hides the round trip after a slot is freed, at the price of a queue inside the engine.
+	// GrantAhead is the number of grants beyond the fixed limit of each upstream [0]. It
+	// hides the round trip after a slot is freed, at the cost of a queue inside the engine.
 	GrantAhead int
-	// Slice and Slices give this keeper one of Slices parts of every upstream, for the
-	// baseline in which each router keeps all cells for itself [whole upstreams].
+	// Slice and Slices limit the keeper to one of Slices equal parts of every upstream, for
+	// the mode in which each router keeps all cells for itself [whole upstreams].
 	Slice, Slices int
-	// Deaths tells how many upstreams died while this content ran on them; nil knows none.
+	// Deaths returns how many upstreams crashed while a content ran on them; nil means
+	// none.
 	Deaths func(content uint64) int
-	// MaxDeaths is the number of deaths from which a content is refused [2].
+	// MaxDeaths is the number of crashes from which a content is refused [2].
 	MaxDeaths int
 	// SuspectPatience is how long a suspect waits for an idle upstream before one is
-	// emptied for it [2 s].
+	// drained for it [2 s].
 	SuspectPatience time.Duration
 }
 
--- a/pkg/keeper/rate.go
+++ b/pkg/keeper/rate.go
@@ -11,7 +11,7 @@
 	maxRetry   = 30 * time.Second
 )
 
-// rate is the exponentially weighted number of events a second.
+// rate is an exponentially weighted rate of events.
 type rate struct {
 	sum   float64
 	last  time.Time
@@ -33,7 +33,8 @@
 	r.sum++
 }
 
-// perSecond returns the rate; a window that isn't filled yet counts as far as it goes.
+// perSecond returns the rate; until the first window is over, only the time since its start
+// counts.
 func (r *rate) perSecond(now time.Time) float64 {
 	if r.start.IsZero() {
 		return 0
@@ -43,12 +44,12 @@
 	return r.sum / (rateWindow.Seconds() * filled)
 }
 
-// retry returns the time in which n claims drain, within bounds.
-func (r *rate) retry(n int, now time.Time) time.Duration {
-	per := r.perSecond(now)
-	if per <= 0 {
+// drainTime returns the time in which n claims drain, from minRetry to maxRetry.
+func (r *rate) drainTime(n int, now time.Time) time.Duration {
+	perSecond := r.perSecond(now)
+	if perSecond <= 0 {
 		return time.Second
 	}
-	seconds := min(float64(n)/per, maxRetry.Seconds())
+	seconds := min(float64(n)/perSecond, maxRetry.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), minRetry)
 }
--- a/pkg/keeper/refuse.go
+++ b/pkg/keeper/refuse.go
@@ -8,29 +8,29 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-func (k *Keeper) refuse(c key, reason wire.RefusalReason, retryMs uint32) {
+func (k *Keeper) refuse(c claimKey, reason wire.RefusalReason, retryMs uint32) {
 	k.outbox = append(k.outbox, Out{
 		To:          c.router,
 		Incarnation: c.incarnation,
-		Refusal:     &wire.Refusal{ID: c.id, Cell: k.o.Cell, Reason: reason, RetryMs: retryMs},
+		Refusal:     &wire.Refusal{ID: c.id, Cell: k.options.Cell, Reason: reason, RetryMs: retryMs},
 	})
 }
 
-// retryMs is the time in which the organisation's own queue drains, when every
-// backlogged organisation gets its turn.
+// retryMs returns the time in which the organisation's own queue drains when every
+// backlogged organisation is served in turn.
 func (k *Keeper) retryMs(org string, now time.Time) uint32 {
 	n := min(k.order.Waiting(org)*max(k.order.Backlogged(), 1), k.order.Len())
-	return uint32(k.drained.retry(n, now).Milliseconds())
+	return uint32(k.completions.drainTime(n, now).Milliseconds())
 }
 
-// Leave hands the cell over: waiting claims are refused, so that their routers claim at
-// the next keeper at once, and nothing is granted any more.
+// Leave hands the cell over: waiting claims are refused, so that their routers claim at the
+// next keeper at once, and nothing is granted any more.
 func (k *Keeper) Leave() {
-	k.leaving = true
+	k.handedOver = true
 	for _, id := range sortedRouters(k.routers) {
 		for _, c := range sortedClaims(k.routers[id].waiting) {
 			k.drop(c)
-			k.refuse(c.key, wire.RefusedLeaving, 0)
+			k.refuse(c.claimKey, wire.RefusedLeaving, 0)
 		}
 	}
 }
--- a/pkg/keeper/reserve.go
+++ b/pkg/keeper/reserve.go
@@ -6,10 +6,11 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// reserved says whether the claim may take a slot kept for urgent work: it is urgent and
-// its organisation uses less than its weighted share of the slots among those that run
-// or wait. Labelling all work urgent therefore wins nothing against others.
-func (k *Keeper) reserved(c *claim, now time.Time) bool {
+// mayUseReserve reports whether the claim may use a slot reserved for urgent work: it is
+// urgent, and its organisation uses less than its weighted share of the slots among the
+// organisations that run or wait. So an organisation gains nothing over others by marking
+// all its work as urgent.
+func (k *Keeper) mayUseReserve(c *claim, now time.Time) bool {
 	if c.Class != wire.ClassUrgent {
 		return false
 	}
@@ -23,7 +24,7 @@
 		}
 	})
 	slots := 0
-	for _, u := range k.ranked {
+	for _, u := range k.declared {
 		if u.usable() {
 			slots += u.limiter.Limit(now)
 		}
--- a/pkg/keeper/router.go
+++ b/pkg/keeper/router.go
@@ -6,21 +6,21 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// router is what the keeper knows of one router's present life.
+// router is the state of one router in its current incarnation.
 type router struct {
 	id          wire.RouterID
 	incarnation wire.Incarnation
-	seq         uint64    // highest Report.Seq
-	full        bool      // a Full report came since settling began
-	heard       time.Time // last message of this life
-	gone        time.Time
+	lastSeq     uint64    // highest Report.Seq
+	reported    bool      // a Full report arrived since the takeover began
+	lastHeard   time.Time // last message of this incarnation
+	deadSince   time.Time
 	slots       map[wire.ClaimID]*slot
 	waiting     map[wire.ClaimID]*claim
-	// elsewhere holds the last OrgCounter.Elsewhere of each organisation.
+	// elsewhere is the last OrgCounter.Elsewhere of each organisation.
 	elsewhere map[string]wire.Units
-	// reborn says that an earlier life was known here, so this life's counters are
-	// known to have started at 0.
-	reborn bool
+	// restarted is set when this keeper knew an earlier incarnation, so that this one's
+	// counters are known to have started at 0.
+	restarted bool
 }
 
 func newRouter(id wire.RouterID, inc wire.Incarnation) *router {
@@ -33,12 +33,12 @@
 	}
 }
 
-func (r *router) key(id wire.ClaimID) key { return key{r.id, r.incarnation, id} }
+func (r *router) key(id wire.ClaimID) claimKey { return claimKey{r.id, r.incarnation, id} }
 
-// life returns the router's state for a message from this incarnation, nil for a message
-// of an earlier life: it was held up on its way, and acting on it would free or take
-// slots of claims that have nothing to do with it.
-func (k *Keeper) life(id wire.RouterID, inc wire.Incarnation, now time.Time) *router {
+// routerFor returns the router's state for a message of an incarnation. It returns nil for
+// a delayed message of an earlier incarnation, which would free or take slots of unrelated
+// claims.
+func (k *Keeper) routerFor(id wire.RouterID, inc wire.Incarnation, now time.Time) *router {
 	r := k.routers[id]
 	switch {
 	case r == nil:
@@ -47,48 +47,48 @@
 	case inc < r.incarnation:
 		return nil
 	case inc > r.incarnation:
-		k.endLife(r, now)
+		k.endIncarnation(r, now)
 		r = newRouter(id, inc)
-		r.reborn = true
+		r.restarted = true
 		k.routers[id] = r
 	}
-	r.heard = now
-	r.returned()
+	r.lastHeard = now
+	r.revive()
 	return r
 }
 
-// returned takes back that the router was declared dead: it was only cut off.
-func (r *router) returned() {
-	if r.gone.IsZero() {
+// revive undoes the declaration that the router is dead: it was only partitioned.
+func (r *router) revive() {
+	if r.deadSince.IsZero() {
 		return
 	}
-	r.gone = time.Time{}
+	r.deadSince = time.Time{}
 	for _, s := range r.slots {
-		s.expires = time.Time{}
+		s.freeAt = time.Time{}
 	}
 }
 
-// endLife drops the waiting claims and lets the slots run out, see case 4 of the
-// package's rule. What was charged stays charged.
-func (k *Keeper) endLife(r *router, now time.Time) {
+// endIncarnation drops the waiting claims and lets the slots expire, see case 4 in the
+// package documentation. What was charged stays charged.
+func (k *Keeper) endIncarnation(r *router, now time.Time) {
 	for _, c := range sortedClaims(r.waiting) {
 		k.drop(c)
 	}
 	for _, s := range r.slots {
-		if s.expires.IsZero() {
-			s.expires = now.Add(k.o.TTL + k.o.Margin)
+		if s.freeAt.IsZero() {
+			s.freeAt = now.Add(k.options.TTL + k.options.Margin)
 		}
 	}
 }
 
-// RouterGone tells that membership declared the router dead. A message of the same life
-// takes its slots back.
+// RouterGone records that membership declared the router dead. A message of the same
+// incarnation undoes it.
 func (k *Keeper) RouterGone(id wire.RouterID, now time.Time) {
-	delete(k.expected, id)
+	delete(k.expectedRouters, id)
 	r := k.routers[id]
-	if r == nil || !r.gone.IsZero() {
+	if r == nil || !r.deadSince.IsZero() {
 		return
 	}
-	r.gone = now
-	k.endLife(r, now)
+	r.deadSince = now
+	k.endIncarnation(r, now)
 }
--- a/pkg/keeper/sim_test.go
+++ b/pkg/keeper/sim_test.go
@@ -16,13 +16,13 @@
 	simRouters = 3
 )
 
-// delivery is a message on its way. Each direction keeps its order; copies come late.
+// delivery is a message on its way. Each direction preserves the order; copies come late.
 type delivery struct {
 	at time.Time
 	do func()
 }
 
-// sim joins routers, a lossy network and a keeper, in virtual time.
+// sim simulates routers, a lossy network and a keeper in virtual time.
 type sim struct {
 	t       *rapid.T
 	now     time.Time
@@ -36,18 +36,18 @@
 }
 
 func newSim(t *rapid.T) *sim {
-	s := &sim{t: t, now: epoch, links: map[string][]delivery{}, starts: map[string]int{}, lossy: true}
+	s := &sim{t: t, now: startTime, links: map[string][]delivery{}, starts: map[string]int{}, lossy: true}
 	for i := range simRouters {
 		s.routers = append(s.routers, &simRouter{
 			id: wire.RouterID(fmt.Sprint("r", i)), inc: 1, sent: map[uint64]time.Time{},
 		})
 	}
-	s.takeOver()
+	s.replaceKeeper()
 	return s
 }
 
-// takeOver puts a keeper without state in the former one's place.
-func (s *sim) takeOver() {
+// replaceKeeper replaces the keeper by a new one without state.
+func (s *sim) replaceKeeper() {
 	alive := []wire.RouterID{}
 	for _, r := range s.routers {
 		alive = append(alive, r.id)
@@ -58,12 +58,12 @@
 
 func (s *sim) chance(percent int) bool { return rapid.IntRange(0, 99).Draw(s.t, "chance") < percent }
 
-func (s *sim) millis(most int) time.Duration {
-	return time.Duration(rapid.IntRange(0, most).Draw(s.t, "ms")) * time.Millisecond
+func (s *sim) millis(limit int) time.Duration {
+	return time.Duration(rapid.IntRange(0, limit).Draw(s.t, "ms")) * time.Millisecond
 }
 
-// pass sends a message: it may be lost, late, or doubled.
-func (s *sim) pass(link string, do func()) {
+// transmit sends a message, which may be lost, delayed or duplicated.
+func (s *sim) transmit(link string, do func()) {
 	if s.lossy && s.chance(10) {
 		return
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *sim) deliver() {
+func (s *sim) deliverDue() {
 	for _, r := range s.routers {
 		for _, link := range []string{"to " + string(r.id), "from " + string(r.id)} {
 			for q := s.links[link]; len(q) > 0 && !q[0].at.After(s.now); q = s.links[link] {
@@ -97,17 +97,17 @@
 	s.copies = rest
 }
 
-// step moves time on by one tick.
+// step advances time by one tick.
 func (s *sim) step() {
 	s.now = s.now.Add(simTick)
-	s.deliver()
+	s.deliverDue()
 	for _, r := range s.routers {
-		s.turn(r)
+		s.tick(r)
 	}
 	for _, o := range s.k.Next(s.now) {
 		for _, r := range s.routers {
 			if r.id == o.To && o.Grant != nil {
-				s.pass("to "+string(r.id), func() { s.grant(r, o.Incarnation, *o.Grant) })
+				s.transmit("to "+string(r.id), func() { s.grant(r, o.Incarnation, *o.Grant) })
 			}
 		}
 	}
@@ -124,13 +124,13 @@
 	return n
 }
 
-// play runs a random story; the keeper may be replaced in it.
-func (s *sim) play(takeOvers bool) {
+// runRandomEvents applies random events, including keeper takeovers if takeOvers is set.
+func (s *sim) runRandomEvents(takeOvers bool) {
 	for range 400 {
 		r := s.routers[rapid.IntRange(0, simRouters-1).Draw(s.t, "router")]
 		switch n := rapid.IntRange(0, 199).Draw(s.t, "event"); {
 		case n < 30 && len(r.requests) < 8:
-			s.join(r)
+			s.addRequest(r)
 		case n < 34:
 			s.cancel(r)
 		case n == 34:
@@ -138,7 +138,7 @@
 		case n == 35:
 			s.k.RouterGone(r.id, s.now)
 		case n == 36 && takeOvers:
-			s.takeOver()
+			s.replaceKeeper()
 		}
 		s.step()
 		for _, u := range []string{"u", "v"} {
@@ -149,7 +149,7 @@
 	}
 }
 
-// finish lets the network heal and everything end.
+// finish ends all faults and checks that everything ends.
 func (s *sim) finish() {
 	s.lossy = false
 	left := 1
@@ -170,23 +170,23 @@
 	}
 }
 
-// Story: messages are lost, late and doubled, routers pause with grants in hand, restart,
-// and are taken for dead. No upstream ever runs more than its slots, and once the network
-// heals every request ends and every slot is free.
+// Messages are lost, delayed and duplicated; routers pause with unused grants, restart, and
+// are wrongly declared dead. No upstream ever runs more requests than its slots, and after
+// the faults end every request ends and every slot is free.
 func TestLossyNetwork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t)
-		s.play(false)
+		s.runRandomEvents(false)
 		s.finish()
 	})
 }
 
-// Story: besides, keepers are replaced by new ones without state, again and again. They
-// may admit too much for a moment, but no claim is forgotten and no slot leaks.
+// In addition keepers are repeatedly replaced by new ones without state. They may briefly
+// admit too much, but no claim is forgotten and no slot leaks.
 func TestLossyNetworkWithTakeOvers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t)
-		s.play(true)
+		s.runRandomEvents(true)
 		s.finish()
 	})
 }
--- a/pkg/keeper/simrouter_test.go
+++ b/pkg/keeper/simrouter_test.go
@@ -13,20 +13,20 @@
 	simReport = 500 * time.Millisecond
 )
 
-// request is one caller's request at a simulated router, under its present claim.
+// request is one caller's request at a simulated router, under its current claim.
 type request struct {
-	id       wire.ClaimID
-	first    time.Time // first copy of the claim
-	copied   time.Time // last copy
-	upstream string    // of the grant in hand
-	lapses   time.Time
-	startAt  time.Time // when the router gets round to starting
-	started  bool
-	endAt    time.Time
-	length   time.Duration
+	id        wire.ClaimID
+	firstCopy time.Time // when the claim was first sent
+	lastCopy  time.Time // when it was last sent
+	upstream  string    // named by the grant
+	expiresAt time.Time
+	startAt   time.Time // when the router starts the request
+	started   bool
+	endAt     time.Time
+	length    time.Duration
 }
 
-// simRouter is the router's side as the wire's comments define it.
+// simRouter is the router's side of the protocol that pkg/wire documents.
 type simRouter struct {
 	id       wire.RouterID
 	inc      wire.Incarnation
@@ -37,30 +37,30 @@
 	requests []*request
 }
 
-func (s *sim) join(r *simRouter) {
+func (s *sim) addRequest(r *simRouter) {
 	q := &request{length: s.millis(1500) + simTick}
 	r.requests = append(r.requests, q)
-	s.renumber(r, q)
+	s.claimAnew(r, q)
 }
 
-// renumber claims anew, under a new ID.
-func (s *sim) renumber(r *simRouter, q *request) {
+// claimAnew sends a new claim with a new ID for a request.
+func (s *sim) claimAnew(r *simRouter, q *request) {
 	r.lastID++
-	*q = request{id: r.lastID, first: s.now, length: q.length}
+	*q = request{id: r.lastID, firstCopy: s.now, length: q.length}
 	s.send(r, q)
 }
 
 func (s *sim) send(r *simRouter, q *request) {
-	q.copied = s.now
+	q.lastCopy = s.now
 	inc, w := r.inc, wire.Claim{ID: q.id, Org: org(q.id)}
-	s.pass("from "+string(r.id), func() { s.k.Claim(r.id, inc, w, s.now) })
+	s.transmit("from "+string(r.id), func() { s.k.Claim(r.id, inc, w, s.now) })
 }
 
 func org(id wire.ClaimID) string { return string("ab"[id%2]) }
 
 func (s *sim) done(r *simRouter, id wire.ClaimID, upstream string, o wire.Outcome) {
 	inc, d := r.inc, wire.Done{ID: id, Upstream: upstream, Outcome: o, Cost: 30}
-	s.pass("from "+string(r.id), func() { s.k.Done(r.id, inc, d, s.now) })
+	s.transmit("from "+string(r.id), func() { s.k.Done(r.id, inc, d, s.now) })
 }
 
 func (s *sim) grant(r *simRouter, inc wire.Incarnation, g wire.Grant) {
@@ -76,14 +76,14 @@
 			s.done(r, g.ID, g.Upstream, wire.OutcomeUnused)
 			return
 		default:
-			base := q.first
+			base := q.firstCopy
 			if at, ok := r.sent[g.EchoSeq]; ok && at.After(base) {
 				base = at
 			}
-			q.upstream, q.lapses = g.Upstream, base.Add(simTTL)
+			q.upstream, q.expiresAt = g.Upstream, base.Add(simTTL)
 			q.startAt = s.now
 			if s.lossy && s.chance(10) {
-				q.startAt = s.now.Add(s.millis(4000)) // paused
+				q.startAt = s.now.Add(s.millis(4000)) // the router is paused
 			}
 			return
 		}
@@ -91,8 +91,8 @@
 	s.done(r, g.ID, g.Upstream, wire.OutcomeUnused)
 }
 
-// turn does what a router does by time.
-func (s *sim) turn(r *simRouter) {
+// tick does what is due at the router.
+func (s *sim) tick(r *simRouter) {
 	kept := r.requests[:0]
 	for _, q := range r.requests {
 		if s.progress(r, q) {
@@ -108,7 +108,7 @@
 func (s *sim) progress(r *simRouter, q *request) bool {
 	switch {
 	case q.upstream == "":
-		if s.now.Sub(q.copied) > 2*time.Second {
+		if s.now.Sub(q.lastCopy) > 2*time.Second {
 			s.send(r, q)
 		}
 	case q.started:
@@ -117,9 +117,9 @@
 			s.served++
 			return false
 		}
-	case !s.now.Before(q.lapses):
+	case !s.now.Before(q.expiresAt):
 		s.done(r, q.id, q.upstream, wire.OutcomeUnused)
-		s.renumber(r, q)
+		s.claimAnew(r, q)
 	case !s.now.Before(q.startAt):
 		q.started, q.endAt = true, s.now.Add(q.length)
 		s.starts[fmt.Sprint(r.id, r.inc, q.id)]++
@@ -139,9 +139,9 @@
 		w.Running = append(w.Running, wire.Running{ID: q.id, Org: org(q.id), Upstream: q.upstream})
 	}
 	inc := r.inc
-	s.pass("from "+string(r.id), func() {
+	s.transmit("from "+string(r.id), func() {
 		state := s.k.Report(r.id, inc, w, s.now)
-		s.pass("to "+string(r.id), func() { s.resend(r, inc, state) })
+		s.transmit("to "+string(r.id), func() { s.resend(r, inc, state) })
 	})
 }
 
@@ -155,7 +155,7 @@
 	}
 }
 
-// restart kills a router; what it ran ends at the upstreams.
+// restart restarts a router without its state; its running requests end.
 func (s *sim) restart(r *simRouter) {
 	r.inc++
 	r.lastID, r.seq, r.requests = 0, 0, nil
@@ -167,7 +167,7 @@
 	for i, q := range r.requests {
 		if q.upstream == "" {
 			inc, w := r.inc, wire.Cancel{ID: q.id}
-			s.pass("from "+string(r.id), func() { s.k.Cancel(r.id, inc, w, s.now) })
+			s.transmit("from "+string(r.id), func() { s.k.Cancel(r.id, inc, w, s.now) })
 			r.requests = append(r.requests[:i], r.requests[i+1:]...)
 			return
 		}
--- a/pkg/keeper/slot.go
+++ b/pkg/keeper/slot.go
@@ -7,48 +7,50 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// slot is one slot in use: granted, or running as a router reported.
+// slot is one slot in use, either granted here or reported as running by a router.
 type slot struct {
-	key
+	claimKey
 	org      string
 	upstream *upstream
-	claim    *claim // nil when the slot was learnt from a report
+	claim    *claim // nil when the slot is known only from a report
 	alone    bool
 	started  bool // a report listed it as running
-	// omitted says that a Full report listed it nowhere since the last copy of the grant.
+	// omitted is set when a Full report listed the claim nowhere since the last copy of the
+	// grant.
 	omitted bool
-	// repeats counts the copies of the grant sent without being asked for.
-	repeats int
-
-	granted time.Time // first grant
-	sent    time.Time // last copy of the grant
-	news    time.Time // last word that the router may hold it
-	expires time.Time // when it is freed since its router is gone; zero while it lives
-
-	cost     wire.Units // delivered, as the router reported
-	advanced time.Time  // when cost last grew
-	charged  wire.Units // of that, what stands in the organisation's counter
-	expected wire.Units // what it is expected to take yet
+	// unaskedResends counts the copies of the grant that the router didn't ask for.
+	unaskedResends int
+
+	grantedAt     time.Time // first grant
+	lastSent      time.Time // last copy of the grant
+	lastConfirmed time.Time // when the router was last known to hold it
+	freeAt        time.Time // when it is freed because its router died or restarted; zero while the router is alive
+
+	cost         wire.Units // service delivered, as the router reported
+	advancedAt   time.Time  // when cost last grew
+	charged      wire.Units // part of cost that is charged to the organisation's counter
+	expectedCost wire.Units // part of the expected cost that isn't delivered yet
 }
 
-// lapsed says that the router can't start the grant any more.
-func (s *slot) lapsed(o *Options, now time.Time) bool {
-	return !now.Before(s.sent.Add(o.TTL + o.Margin))
+// grantExpired reports whether the router can't start the grant any more.
+func (s *slot) grantExpired(o *Options, now time.Time) bool {
+	return !now.Before(s.lastSent.Add(o.TTL + o.Margin))
 }
 
-// due says that the slot is to be freed by time alone. heard is the last message of the
-// router's present life: reports list only changes mostly, so any message from a living
-// router confirms all its slots until a Full report tells otherwise.
-func (s *slot) due(o *Options, heard, now time.Time) bool {
+// reclaimDue reports whether the slot is to be reclaimed because of elapsed time alone.
+// lastHeard is the last message of the router's current incarnation: most reports list only
+// changes, so any message of a living router confirms all its slots until a Full report
+// says otherwise.
+func (s *slot) reclaimDue(o *Options, lastHeard, now time.Time) bool {
 	switch {
-	case !s.expires.IsZero():
-		return !now.Before(s.expires)
-	case s.omitted && s.lapsed(o, now):
+	case !s.freeAt.IsZero():
+		return !now.Before(s.freeAt)
+	case s.omitted && s.grantExpired(o, now):
 		return true
-	case heard.Before(s.news):
-		heard = s.news
+	case lastHeard.Before(s.lastConfirmed):
+		lastHeard = s.lastConfirmed
 	}
-	return !now.Before(heard.Add(o.Silent))
+	return !now.Before(lastHeard.Add(o.Silent))
 }
 
 func compareSlots(a, b *slot) int {
--- a/pkg/keeping/handle.go
+++ b/pkg/keeping/handle.go
@@ -14,15 +14,15 @@
 	case e.frame != nil:
 		d.handleFrame(e, now)
 	default:
-		d.suspected(e.content)
+		d.updateSuspect(e.content)
 	}
 }
 
-func (d *Duty) suspected(content uint64) {
+func (d *Duty) updateSuspect(content uint64) {
 	for _, k := range d.keepers {
 		k.Suspected(content)
 	}
-	d.touchAll()
+	d.markAllDirty()
 }
 
 func (d *Duty) handleFrame(e event, now time.Time) {
@@ -31,12 +31,12 @@
 		d.report(e.from, f.Life, r, now)
 	}
 	for _, done := range f.Dones {
-		if k := d.touch(done.Cell); k != nil {
+		if k := d.activeKeeper(done.Cell); k != nil {
 			k.Done(e.from, f.Life, done, now)
 		}
 	}
 	for _, c := range f.Cancels {
-		if k := d.touch(c.Cell); k != nil {
+		if k := d.activeKeeper(c.Cell); k != nil {
 			k.Cancel(e.from, f.Life, c, now)
 		}
 	}
@@ -45,10 +45,11 @@
 	}
 }
 
-// claim refuses what belongs to another keeper: the router's view of the membership
-// is older or newer than ours, and an answer beats a wait.
+// claim passes a claim to its keeper, or refuses it if another router keeps the cell: the
+// sender's view of the membership is older or newer than ours, and an answer saves it a
+// wait.
 func (d *Duty) claim(from wire.RouterID, life wire.Incarnation, c wire.Claim, now time.Time) {
-	if k := d.touch(c.Cell); k != nil {
+	if k := d.activeKeeper(c.Cell); k != nil {
 		k.Claim(from, life, c, now)
 		return
 	}
@@ -61,7 +62,7 @@
 	for _, m := range r.Down {
 		d.applyMark(m, now)
 	}
-	k := d.touch(r.Cell)
+	k := d.activeKeeper(r.Cell)
 	if k == nil {
 		return
 	}
@@ -76,32 +77,32 @@
 	d.marks[m.Upstream] = m
 	for id, k := range d.keepers {
 		k.Mark(m, now)
-		d.touched[id] = true
+		d.dirty[id] = true
 	}
 }
 
-func (d *Duty) touch(cell wire.CellID) *keeper.Keeper {
+func (d *Duty) activeKeeper(cell wire.CellID) *keeper.Keeper {
 	k := d.keepers[cell]
 	if k != nil {
-		d.touched[cell] = true
+		d.dirty[cell] = true
 	}
 	return k
 }
 
-func (d *Duty) touchAll() {
+func (d *Duty) markAllDirty() {
 	for id := range d.keepers {
-		d.touched[id] = true
+		d.dirty[id] = true
 	}
 }
 
-// flush sends what the touched keepers decide.
+// flush sends the messages of the dirty keepers.
 func (d *Duty) flush(now time.Time) {
-	for id := range d.touched {
+	for id := range d.dirty {
 		if k := d.keepers[id]; k != nil {
 			d.send(k.Next(now))
 		}
 	}
-	clear(d.touched)
+	clear(d.dirty)
 }
 
 func (d *Duty) send(outs []keeper.Out) {
--- a/pkg/keeping/duty_test.go
+++ b/pkg/keeping/manager_test.go
@@ -17,8 +17,8 @@
 
 const cell = wire.CellID("models/0")
 
-// world is a fake of what surrounds one Duty.
-type world struct {
+// fakeFleet is the directory and the sender of a Duty under test.
+type fakeFleet struct {
 	mu     sync.Mutex
 	index  *resource.Index
 	keeps  bool
@@ -26,13 +26,13 @@
 	frames map[wire.RouterID]*wire.Frame
 }
 
-func (w *world) Index() *resource.Index { w.mu.Lock(); defer w.mu.Unlock(); return w.index }
+func (w *fakeFleet) Index() *resource.Index { w.mu.Lock(); defer w.mu.Unlock(); return w.index }
 
-func (w *world) Keeps(wire.CellID) bool { w.mu.Lock(); defer w.mu.Unlock(); return w.keeps }
+func (w *fakeFleet) Keeps(wire.CellID) bool { w.mu.Lock(); defer w.mu.Unlock(); return w.keeps }
 
-func (w *world) Alive() []wire.RouterID { w.mu.Lock(); defer w.mu.Unlock(); return w.alive }
+func (w *fakeFleet) Alive() []wire.RouterID { w.mu.Lock(); defer w.mu.Unlock(); return w.alive }
 
-func (w *world) Send(to wire.RouterID, add func(*wire.Frame)) {
+func (w *fakeFleet) Send(to wire.RouterID, add func(*wire.Frame)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.frames[to] == nil {
@@ -41,7 +41,7 @@
 	add(w.frames[to])
 }
 
-func (w *world) take(to wire.RouterID) wire.Frame {
+func (w *fakeFleet) take(to wire.RouterID) wire.Frame {
 	synctest.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,9 +64,9 @@
 	})
 }
 
-// start runs a Duty that keeps the cell; it has settled when start returns.
-func start(t *testing.T) (*Duty, *world) {
-	w := &world{index: snapshot(), keeps: true, alive: []wire.RouterID{"r1"}, frames: map[wire.RouterID]*wire.Frame{}}
+// start runs a Duty that keeps the cell; its takeover has ended when start returns.
+func start(t *testing.T) (*Duty, *fakeFleet) {
+	w := &fakeFleet{index: snapshot(), keeps: true, alive: []wire.RouterID{"r1"}, frames: map[wire.RouterID]*wire.Frame{}}
 	d := New(w, w, Options{
 		Keeper: keeper.Options{TTL: 2 * time.Second, Report: 500 * time.Millisecond},
 		Log:    &log.Logger{Handler: discard.Default},
@@ -86,10 +86,10 @@
 	return f
 }
 
-// Two routers differ for a moment about who keeps a cell. A claim that reaches the one
-// that doesn't must be answered: unanswered, the request would wait for the next copy
-// while its real keeper has free slots.
-func TestAClaimAtTheWrongKeeperIsAnswered(t *testing.T) {
+// Two routers briefly disagree about who keeps a cell. A claim that reaches a router that
+// doesn't keep the cell must be answered: otherwise the request would wait for the next
+// copy while its actual keeper has free slots.
+func TestClaimAtTheWrongRouterIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, w := start(t)
 		w.mu.Lock()
@@ -105,8 +105,8 @@
 	})
 }
 
-// A router that keeps a cell leaves while claims wait there. They must be sent on at
-// once, or every waiting request would lose the time until its router notices by itself.
+// A router hands over a cell in which claims wait. They must be refused at once, or every
+// waiting request would lose the time until its router notices the change by itself.
 func TestHandingACellOverRefusesItsWaitingClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, w := start(t)
@@ -125,8 +125,8 @@
 	})
 }
 
-// The host list marks an engine as leaving while claims wait. Nothing new may go there,
-// not even when its slot frees; the mark must also hold for a keeper made later.
+// The host list marks an engine as leaving while claims wait. It must get no new work, not
+// even when its slot is freed; the mark must also hold for a keeper created later.
 func TestAMarkedUpstreamGetsNothingNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, w := start(t)
@@ -138,7 +138,7 @@
 		<-time.After(time.Second)
 		got := w.take("r1")
 		if len(got.Grants) != 0 || len(got.Refusals) != 1 || got.Refusals[0].Reason != wire.RefusedNoUpstream {
-			t.Fatalf("want the claim refused for want of an upstream, got %+v", got)
+			t.Fatalf("want the claim refused without a usable upstream, got %+v", got)
 		}
 		d.Mark(wire.UpstreamMark{Upstream: "e1", Generation: 4})
 		d.HandleFrame("r1", claims(3))
--- a/pkg/keeping/refresh.go
+++ b/pkg/keeping/refresh.go
@@ -8,8 +8,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// refresh makes, configures and ends keepers after a change of the configuration or
-// the membership.
+// refresh creates, configures and ends keepers after a change of the configuration or the
+// membership.
 func (d *Duty) refresh(now time.Time) {
 	index := d.directory.Index()
 	if index == nil {
@@ -32,12 +32,12 @@
 	}
 	for id, k := range d.keepers {
 		if _, kept := cells[id]; !kept {
-			d.leave(id, k, now)
+			d.handOver(id, k, now)
 		}
 	}
 	d.index = index
-	d.noteGone(alive, now)
-	d.touchAll()
+	d.reportDead(alive, now)
+	d.markAllDirty()
 	d.flush(now)
 }
 
@@ -65,23 +65,23 @@
 	return k
 }
 
-func (d *Duty) leave(id wire.CellID, k *keeper.Keeper, now time.Time) {
+func (d *Duty) handOver(id wire.CellID, k *keeper.Keeper, now time.Time) {
 	k.Leave()
 	d.send(k.Next(now))
-	d.granted.Add(k.TakeGranted())
+	d.grantCounts.Add(k.TakeGranted())
 	delete(d.keepers, id)
-	delete(d.touched, id)
+	delete(d.dirty, id)
 	d.options.Log.WithField("cell", id).Info("handed cell over")
 }
 
-func (d *Duty) leaveAll(now time.Time) {
+func (d *Duty) handOverAll(now time.Time) {
 	for id, k := range d.keepers {
-		d.leave(id, k, now)
+		d.handOver(id, k, now)
 	}
 }
 
-// noteGone tells the keepers which routers are no longer alive.
-func (d *Duty) noteGone(alive []wire.RouterID, now time.Time) {
+// reportDead tells the keepers which routers are no longer alive.
+func (d *Duty) reportDead(alive []wire.RouterID, now time.Time) {
 	current := make(map[wire.RouterID]bool, len(alive))
 	for _, id := range alive {
 		current[id] = true
--- a/pkg/keeping/stats.go
+++ b/pkg/keeping/stats.go
@@ -6,31 +6,31 @@
 	"github.com/flamingowind/flamingowind/pkg/keeper"
 )
 
-// Stats sums up the keepers of this router.
+// Stats sums up the state of this router's keepers.
 type Stats struct {
 	Cells   int
 	Slots   int
 	Spare   int
 	Backlog int
-	// Gap is the largest difference of virtual counters among backlogged
+	// Gap is the largest difference between the virtual counters of backlogged
 	// organisations in one cell, in units.
 	Gap float64
 	// Granted counts grants since the start.
 	Granted keeper.Granted
 }
 
-// Stats gives the sums of the last tick.
+// Stats returns the sums as of the last tick.
 func (d *Duty) Stats() Stats { return *d.stats.Load() }
 
-func (d *Duty) publish(now time.Time) {
+func (d *Duty) publishStats(now time.Time) {
 	s := Stats{Cells: len(d.keepers)}
 	for _, k := range d.keepers {
 		s.Slots += k.Slots()
 		s.Spare += k.Spare(now)
 		s.Backlog += k.Backlog()
 		s.Gap = max(s.Gap, k.Gap())
-		d.granted.Add(k.TakeGranted())
+		d.grantCounts.Add(k.TakeGranted())
 	}
-	s.Granted = d.granted
+	s.Granted = d.grantCounts
 	d.stats.Store(&s)
 }
