--- a/pkg/claimant/report.go
+++ b/pkg/claimant/report.go
@@ -52,7 +52,7 @@
 }
 
 // quietIntervals is the number of report intervals between two reports for a cell in which
-// nothing waits. A keeper remembers a slot for more than twice as long, see keeper.Options.Silent.
+// nothing waits. A keeper remembers a slot for more than twice as long, see keeper.Options.SilenceTimeout.
 const quietIntervals = 2
 
 // nextInterval returns the time to the next report. Where nothing waits, the order of
--- a/pkg/daemon/fx.go
+++ b/pkg/daemon/fx.go
@@ -124,14 +124,14 @@
 	}, f)
 }
 
-func newKeeping(s settings.Settings, d *directory, snd *sender, q *suspects, lg log.Interface) *keeping.Duty {
+func newKeeping(s settings.Settings, d *directory, snd *sender, q *suspects, lg log.Interface) *keeping.Manager {
 	return keeping.New(d, snd, keeping.Options{
 		Keeper: keeper.Options{
-			TTL:    s.Timing.GrantTTL.Std(),
-			Report: s.Timing.Report.Std(),
-			Deaths: q.list.Deaths,
-			Slice:  s.Sharing.Slice,
-			Slices: s.Sharing.Slices,
+			TTL:            s.Timing.GrantTTL.Std(),
+			ReportInterval: s.Timing.Report.Std(),
+			Crashes:        q.list.Deaths,
+			Slice:          s.Sharing.Slice,
+			Slices:         s.Sharing.Slices,
 		},
 		Log: lg,
 	})
--- a/pkg/daemon/gauges.go
+++ b/pkg/daemon/gauges.go
@@ -20,7 +20,7 @@
 type gauges struct {
 	scope     tally.Scope
 	transport *peer.Transport
-	keeping   *keeping.Duty
+	keeping   *keeping.Manager
 	claimant  *claimant.Claimant
 	live      *config.Live
 	members   *member.Duty
@@ -28,7 +28,7 @@
 	last      peer.Stats
 	// claims, own and granted are those counted already.
 	claims, own uint64
-	granted     keeper.Granted
+	granted     keeper.GrantCounts
 }
 
 func (g *gauges) run(ctx context.Context) {
@@ -78,9 +78,9 @@
 	scope.Gauge("slots_spare").Update(float64(k.Spare))
 	scope.Gauge("backlog").Update(float64(k.Backlog))
 	scope.Gauge("counter_gap").Update(k.Gap)
-	scope.Counter("grants").Inc(int64(k.Granted.All - g.granted.All))
-	scope.Counter("grants_unopposed").Inc(int64(k.Granted.Unopposed - g.granted.Unopposed))
-	g.granted = k.Granted
+	scope.Counter("grants").Inc(int64(k.Grants.All - g.granted.All))
+	scope.Counter("grants_unopposed").Inc(int64(k.Grants.Uncontended - g.granted.Uncontended))
+	g.granted = k.Grants
 	g.scope.SubScope("claimant").Gauge("waiting").Update(float64(g.claimant.Waiting()))
 	alive, known := g.members.View().Reachable()
 	members := g.scope.SubScope("member")
--- a/pkg/daemon/run.go
+++ b/pkg/daemon/run.go
@@ -43,7 +43,7 @@
 	Exchange  *config.Exchange
 	Syncer    *config.Syncer
 	Poller    *config.Poller
-	Keeping   *keeping.Duty
+	Keeping   *keeping.Manager
 	Claimant  *claimant.Claimant
 	Book      *once.Book
 	Orders    *order.Reconciler
@@ -57,7 +57,7 @@
 func start(r router) {
 	r.Members.Attach(r.Transport)
 	r.Frames.setMarked(r.Keeping.Mark)
-	r.Suspects.notify = r.Keeping.Suspected
+	r.Suspects.notify = r.Keeping.UpdateSuspect
 	r.Frames.set(
 		r.Members, r.Keeping, r.Suspects,
 		claimantFrames{r.Claimant},
--- a/pkg/keeper/basic_test.go
+++ b/pkg/keeper/basic_test.go
@@ -38,11 +38,11 @@
 	return resource.Upstream{Meta: resource.Meta{Name: name}, Slots: slots}
 }
 
-func (h *harness) next() []Out { return h.k.Next(h.now) }
+func (h *harness) next() []Message { return h.k.Next(h.now) }
 
 // advance moves time on, calls Next every 100 ms as the event loop does, and returns all
 // messages.
-func (h *harness) advance(d time.Duration) (out []Out) {
+func (h *harness) advance(d time.Duration) (out []Message) {
 	for step := 100 * time.Millisecond; d > 0; d -= step {
 		h.now = h.now.Add(min(step, d))
 		out = append(out, h.next()...)
@@ -65,7 +65,7 @@
 	h.k.Done(wire.RouterID(router), 1, wire.Done{ID: id, Upstream: upstream, Cost: cost}, h.now)
 }
 
-func grants(out []Out) (ids []wire.ClaimID) {
+func grants(out []Message) (ids []wire.ClaimID) {
 	for _, o := range out {
 		if o.Grant != nil {
 			ids = append(ids, o.Grant.ID)
@@ -74,7 +74,7 @@
 	return ids
 }
 
-func refusals(out []Out) (reasons []wire.RefusalReason) {
+func refusals(out []Message) (reasons []wire.RefusalReason) {
 	for _, o := range out {
 		if o.Refusal != nil {
 			reasons = append(reasons, o.Refusal.Reason)
--- a/pkg/keeper/bench_test.go
+++ b/pkg/keeper/bench_test.go
@@ -22,7 +22,7 @@
 
 func benchGrant(b *testing.B, orgs, waiting int) {
 	const routers, upstreams, slots = 8, 18, 8
-	k := New(Options{MaxWaiting: 1 << 20, MaxWaitingOrg: 1 << 20}, nil, startTime)
+	k := New(Options{MaxWaiting: 1 << 20, MaxWaitingPerOrg: 1 << 20}, nil, startTime)
 	var ups []resource.Upstream
 	for i := range upstreams {
 		ups = append(ups, engine(fmt.Sprintf("engine-%02d", i), slots))
@@ -34,7 +34,7 @@
 		weights[names[i]] = 1
 	}
 	k.Configure(ups, weights, startTime)
-	k.KeepHeadroom(true)
+	k.EnableHeadroom(true)
 	now := startTime
 	router := func(id wire.ClaimID) wire.RouterID { return wire.RouterID(fmt.Sprint("router-", id%routers)) }
 	ids := make([]wire.RouterID, routers)
--- a/pkg/keeper/claim.go
+++ b/pkg/keeper/claim.go
@@ -60,7 +60,7 @@
 	switch {
 	case k.handedOver:
 		return wire.RefusedLeaving, true
-	case k.crashes(c) >= k.options.MaxDeaths:
+	case k.crashes(c) >= k.options.MaxCrashes:
 		return wire.RefusedQuarantine, true
 	case k.unservable(c):
 		return wire.RefusedNoUpstream, true
@@ -75,7 +75,7 @@
 // doesn't shut out the others.
 func (k *Keeper) queueFull(org string) bool {
 	waiting := k.order.Waiting(org)
-	if waiting >= k.options.MaxWaitingOrg {
+	if waiting >= k.options.MaxWaitingPerOrg {
 		return true
 	}
 	part := k.options.MaxWaiting / (k.order.Backlogged() + 1)
@@ -118,7 +118,7 @@
 	if c.Content == 0 {
 		return 0
 	}
-	return k.options.Deaths(c.Content)
+	return k.options.Crashes(c.Content)
 }
 
 func expiryOf(w wire.Claim, now time.Time) time.Time {
--- a/pkg/keeper/deadrouter_test.go
+++ b/pkg/keeper/deadrouter_test.go
@@ -19,7 +19,7 @@
 	h.claim("q", 1, 10, "b")
 	equal(t, 2, len(grants(h.next()))) // one of a, one of b
 	h.report("r", wire.Report{Running: []wire.Running{{ID: 0, Org: "a", Upstream: "u", Cost: 25}}, Waiting: []wire.ClaimID{1, 2}})
-	h.k.RouterGone("r", h.now)
+	h.k.MarkRouterDead("r", h.now)
 	equal(t, 1, h.k.Backlog())
 	equal(t, 0, len(h.advance(2400*time.Millisecond)))
 	equal(t, []wire.ClaimID{10}, grants(h.advance(200*time.Millisecond)))
@@ -35,7 +35,7 @@
 	h.next()
 	running := wire.Report{Running: []wire.Running{{ID: 1, Org: "a", Upstream: "u"}}}
 	h.report("r", running)
-	h.k.RouterGone("r", h.now)
+	h.k.MarkRouterDead("r", h.now)
 	for range 10 {
 		equal(t, 0, len(grants(h.advance(500*time.Millisecond))))
 		h.report("r", running)
@@ -51,7 +51,7 @@
 	h.claim("q", 1, 2, "b")
 	h.next()
 	h.report("r", wire.Report{Running: []wire.Running{{ID: 1, Org: "a", Upstream: "u"}}})
-	h.k.RouterGone("r", h.now)
+	h.k.MarkRouterDead("r", h.now)
 	for i := range uint64(10) {
 		h.k.Report("r", 1, wire.Report{Seq: 10 + i}, h.now)
 		equal(t, 0, len(h.advance(500*time.Millisecond)))
@@ -70,7 +70,7 @@
 	h.report("r", running)
 	h.now = h.now.Add(time.Minute)
 	equal(t, 0, len(h.next()))
-	equal(t, true, h.k.Settling())
+	equal(t, true, h.k.TakingOver())
 	h.report("r", running)
 	equal(t, 0, len(grants(h.advance(4*time.Second))))
 	h.done("r", 1, "u", 10)
--- a/pkg/keeper/doc.go
+++ b/pkg/keeper/doc.go
@@ -27,7 +27,7 @@
 //  4. The router was declared dead, or came back in a new incarnation, TTL + margin ago. A
 //     dead process starts nothing, and its engine sees the connections break. A router that
 //     is only partitioned has had time for the grants on their way to expire.
-//  5. Nothing confirmed the slot for Options.Silent. A router reports for as long as its
+//  5. Nothing confirmed the slot for Options.SilenceTimeout. A router reports for as long as its
 //     work runs, so both Done and the reports were lost. This prevents slot leaks.
 //
 // When a router still lists a claim as waiting after its grant expired, the claim doesn't
--- a/pkg/keeper/grantcounts.go
+++ b/pkg/keeper/grantcounts.go
@@ -1,27 +1,27 @@
 package keeper
 
-// Granted counts grants. Unopposed counts those made while no other organisation had a
+// GrantCounts counts grants. Uncontended counts those made while no other organisation had a
 // waiting claim.
-type Granted struct {
-	All, Unopposed uint64
+type GrantCounts struct {
+	All, Uncontended uint64
 }
 
-func (g *Granted) count(contended bool) {
+func (g *GrantCounts) count(contended bool) {
 	g.All++
 	if !contended {
-		g.Unopposed++
+		g.Uncontended++
 	}
 }
 
 // Add adds the counts of other.
-func (g *Granted) Add(other Granted) {
+func (g *GrantCounts) Add(other GrantCounts) {
 	g.All += other.All
-	g.Unopposed += other.Unopposed
+	g.Uncontended += other.Uncontended
 }
 
-// TakeGranted returns the counts since the last call and resets them.
-func (k *Keeper) TakeGranted() Granted {
+// TakeGrantCounts returns the counts since the last call and resets them.
+func (k *Keeper) TakeGrantCounts() GrantCounts {
 	g := k.grantCounts
-	k.grantCounts = Granted{}
+	k.grantCounts = GrantCounts{}
 	return g
 }
--- a/pkg/keeper/headroom.go
+++ b/pkg/keeper/headroom.go
@@ -44,11 +44,11 @@
 	lightGrants rate
 }
 
-// KeepHeadroom enables or disables the headroom.
-func (k *Keeper) KeepHeadroom(on bool) { k.headroom.enabled = on }
+// EnableHeadroom enables or disables the headroom.
+func (k *Keeper) EnableHeadroom(on bool) { k.headroom.enabled = on }
 
-// GrantAhead sets Options.GrantAhead.
-func (k *Keeper) GrantAhead(n int) { k.options.GrantAhead = n }
+// SetGrantAhead sets Options.SetGrantAhead.
+func (k *Keeper) SetGrantAhead(n int) { k.options.GrantAhead = n }
 
 // refreshShares updates totalWeight and totalSlots and forgets inactive organisations.
 func (k *Keeper) refreshShares(now time.Time) {
--- a/pkg/keeper/headroom_test.go
+++ b/pkg/keeper/headroom_test.go
@@ -31,7 +31,7 @@
 // has work.
 func TestFloodLeavesHeadroom(t *testing.T) {
 	h := newHarness(t, Options{}, engine("u", 32))
-	h.k.KeepHeadroom(true)
+	h.k.EnableHeadroom(true)
 	lightLoad(h)
 	equal(t, 30, h.flood("a", 100))
 	h.claim("q", 1, 100, "b")
@@ -46,11 +46,11 @@
 // smaller than a slot. All slots are used.
 func TestNoHeadroomWithoutFlood(t *testing.T) {
 	h := newHarness(t, Options{}, engine("u", 32))
-	h.k.KeepHeadroom(true)
+	h.k.EnableHeadroom(true)
 	equal(t, 32, h.flood("a", 100))
 
 	h = newHarness(t, Options{}, engine("u", 32))
-	h.k.KeepHeadroom(true)
+	h.k.EnableHeadroom(true)
 	lightLoad(h)
 	for id := range wire.ClaimID(50) {
 		h.claim("r", 1, 2*id+100, "a")
@@ -59,7 +59,7 @@
 	equal(t, 32, len(grants(h.advance(time.Second))))
 
 	h = newHarness(t, Options{}, engine("u", 32))
-	h.k.KeepHeadroom(true)
+	h.k.EnableHeadroom(true)
 	for id := range wire.ClaimID(200) {
 		org := fmt.Sprint(id % 100)
 		h.claim("q", 1, id, org)
@@ -73,7 +73,7 @@
 	equal(t, 32, len(grants(h.advance(time.Second))))
 
 	h = newHarness(t, Options{}, engine("u", 32))
-	h.k.KeepHeadroom(false)
+	h.k.EnableHeadroom(false)
 	lightLoad(h)
 	equal(t, 32, h.flood("a", 100))
 }
--- a/pkg/keeper/keeper.go
+++ b/pkg/keeper/keeper.go
@@ -35,8 +35,8 @@
 	completions rate
 	headroom    headroom
 	meanCost    wire.Units // moving average of the cost of served requests
-	outbox      []Out
-	grantCounts Granted
+	outbox      []Message
+	grantCounts GrantCounts
 
 	configured bool
 	handedOver bool
@@ -58,7 +58,7 @@
 
 // New returns a keeper that is taking over the cell: it grants nothing until all alive
 // routers have sent a Full report, those that take part in the cell have sent one, or
-// Options.Settle has passed.
+// Options.TakeoverTimeout has passed.
 func New(o Options, alive []wire.RouterID, now time.Time) *Keeper {
 	k := &Keeper{
 		options:         o.withDefaults(),
@@ -83,9 +83,9 @@
 	return k
 }
 
-// Settling reports whether the keeper still collects reports of running work and grants
+// TakingOver reports whether the keeper still collects reports of running work and grants
 // nothing.
-func (k *Keeper) Settling() bool { return k.takingOver }
+func (k *Keeper) TakingOver() bool { return k.takingOver }
 
 // Virtual returns an organisation's virtual counter.
 func (k *Keeper) Virtual(org string) wire.Units { return k.order.Virtual(org) }
@@ -110,7 +110,7 @@
 	for _, u := range k.declared {
 		n += u.free(now, 0)
 	}
-	return max(n-k.options.ReserveUrgent, 0)
+	return max(n-k.options.UrgentReserve, 0)
 }
 
 func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
--- a/pkg/keeper/next.go
+++ b/pkg/keeper/next.go
@@ -10,7 +10,7 @@
 // Next returns the messages that are due: refusals, repeated grants, and new grants in the
 // fair order while slots are free. It must be called after every batch of messages and at
 // least once per report interval.
-func (k *Keeper) Next(now time.Time) []Out {
+func (k *Keeper) Next(now time.Time) []Message {
 	k.detectPause(now)
 	k.checkTakeover(now)
 	if !k.takingOver {
@@ -31,8 +31,8 @@
 	if free == 0 || k.order.Len() == 0 {
 		return false
 	}
-	p := picker{k: k, now: now, urgentOnly: free <= k.options.ReserveUrgent}
-	p.withinShare = free <= k.options.ReserveUrgent+k.headroomSlots(now)
+	p := picker{k: k, now: now, urgentOnly: free <= k.options.UrgentReserve}
+	p.withinShare = free <= k.options.UrgentReserve+k.headroomSlots(now)
 	e := k.order.Pick(p.usable)
 	for _, s := range p.suspects {
 		k.order.Isolate(s)
@@ -49,7 +49,7 @@
 	k.drop(c)
 	switch {
 	case c.expired(now):
-	case k.crashes(c) >= k.options.MaxDeaths:
+	case k.crashes(c) >= k.options.MaxCrashes:
 		k.refuse(c.claimKey, wire.RefusedQuarantine, 0)
 	default:
 		k.grant(c, p.choice, p.alone, now)
@@ -76,7 +76,7 @@
 // grant.
 func (k *Keeper) send(r *router, s *slot, now time.Time) {
 	s.lastSent, s.lastConfirmed, s.freeAt, s.omitted = now, now, time.Time{}, false
-	k.outbox = append(k.outbox, Out{To: r.id, Incarnation: r.incarnation, Grant: &wire.Grant{
+	k.outbox = append(k.outbox, Message{To: r.id, Incarnation: r.incarnation, Grant: &wire.Grant{
 		ID:       s.id,
 		Cell:     k.options.Cell,
 		Upstream: s.upstream.name,
--- a/pkg/keeper/picker.go
+++ b/pkg/keeper/picker.go
@@ -25,7 +25,7 @@
 	c := e.Value
 	crashes := p.k.crashes(c)
 	switch {
-	case c.expired(p.now) || crashes >= p.k.options.MaxDeaths:
+	case c.expired(p.now) || crashes >= p.k.options.MaxCrashes:
 		return true
 	case p.k.cooldown.active(c.Content, p.now):
 		return false
--- a/pkg/keeper/policy_test.go
+++ b/pkg/keeper/policy_test.go
@@ -92,7 +92,7 @@
 	u := engine("u", 2)
 	u.MaxSlots = 4
 	h := newHarness(t, Options{}, u)
-	h.k.GrantAhead(1)
+	h.k.SetGrantAhead(1)
 	for id := range wire.ClaimID(4) {
 		h.claim("r", 1, id, "a")
 	}
@@ -134,7 +134,7 @@
 // comes. With a reserved slot it starts at once. Organisations over their share can't use
 // the reserve.
 func TestReserveIsForUrgentWithinShare(t *testing.T) {
-	h := newHarness(t, Options{ReserveUrgent: 1}, engine("u", 4))
+	h := newHarness(t, Options{UrgentReserve: 1}, engine("u", 4))
 	for id := range wire.ClaimID(6) {
 		h.k.Claim("r", 1, wire.Claim{ID: id, Org: "a", Class: wire.ClassNormal}, h.now)
 	}
@@ -186,10 +186,10 @@
 	h := newHarness(t, Options{}, engine("e1", 2))
 	h.claim("r", 1, 1, "a")
 	h.next()
-	equal(t, Granted{All: 1, Unopposed: 1}, h.k.TakeGranted())
+	equal(t, GrantCounts{All: 1, Uncontended: 1}, h.k.TakeGrantCounts())
 	h.claim("r", 1, 2, "a")
 	h.claim("r", 1, 3, "b")
 	h.next()
-	equal(t, Granted{All: 1}, h.k.TakeGranted())
-	equal(t, Granted{}, h.k.TakeGranted())
+	equal(t, GrantCounts{All: 1}, h.k.TakeGrantCounts())
+	equal(t, GrantCounts{}, h.k.TakeGrantCounts())
 }
--- a/pkg/keeper/refuse.go
+++ b/pkg/keeper/refuse.go
@@ -9,7 +9,7 @@
 )
 
 func (k *Keeper) refuse(c claimKey, reason wire.RefusalReason, retryMs uint32) {
-	k.outbox = append(k.outbox, Out{
+	k.outbox = append(k.outbox, Message{
 		To:          c.router,
 		Incarnation: c.incarnation,
 		Refusal:     &wire.Refusal{ID: c.id, Cell: k.options.Cell, Reason: reason, RetryMs: retryMs},
@@ -23,9 +23,9 @@
 	return uint32(k.completions.drainTime(n, now).Milliseconds())
 }
 
-// Leave hands the cell over: waiting claims are refused, so that their routers claim at the
+// HandOver hands the cell over: waiting claims are refused, so that their routers claim at the
 // next keeper at once, and nothing is granted any more.
-func (k *Keeper) Leave() {
+func (k *Keeper) HandOver() {
 	k.handedOver = true
 	for _, id := range sortedRouters(k.routers) {
 		for _, c := range sortedClaims(k.routers[id].waiting) {
--- a/pkg/keeper/resend.go
+++ b/pkg/keeper/resend.go
@@ -12,7 +12,7 @@
 // When the grant has expired and the upstream takes no new work any more, the claim waits
 // again.
 func (k *Keeper) resendGrant(r *router, s *slot, now time.Time) {
-	if s.started || s.claim == nil || now.Sub(s.lastSent) < k.options.Report/2 {
+	if s.started || s.claim == nil || now.Sub(s.lastSent) < k.options.ReportInterval/2 {
 		return
 	}
 	if s.upstream.usable() && !slices.Contains(s.claim.Exclude, s.upstream.name) {
@@ -31,7 +31,7 @@
 // and the slot would be idle for seconds. A router that has the grant ignores the copy.
 func (k *Keeper) resendUnconfirmed(r *router, now time.Time) {
 	for _, s := range sortedSlots(r.slots) {
-		if !s.started && !s.omitted && s.unaskedResends < maxUnaskedResends && now.Sub(s.lastSent) >= k.options.Report {
+		if !s.started && !s.omitted && s.unaskedResends < maxUnaskedResends && now.Sub(s.lastSent) >= k.options.ReportInterval {
 			s.unaskedResends++
 			k.resendGrant(r, s, now)
 		}
--- a/pkg/keeper/router.go
+++ b/pkg/keeper/router.go
@@ -76,14 +76,14 @@
 	}
 	for _, s := range r.slots {
 		if s.freeAt.IsZero() {
-			s.freeAt = now.Add(k.options.TTL + k.options.Margin)
+			s.freeAt = now.Add(k.options.TTL + k.options.TTLMargin)
 		}
 	}
 }
 
-// RouterGone records that membership declared the router dead. A message of the same
+// MarkRouterDead records that membership declared the router dead. A message of the same
 // incarnation undoes it.
-func (k *Keeper) RouterGone(id wire.RouterID, now time.Time) {
+func (k *Keeper) MarkRouterDead(id wire.RouterID, now time.Time) {
 	delete(k.expectedRouters, id)
 	r := k.routers[id]
 	if r == nil || !r.deadSince.IsZero() {
--- a/pkg/keeper/sim_test.go
+++ b/pkg/keeper/sim_test.go
@@ -52,7 +52,7 @@
 	for _, r := range s.routers {
 		alive = append(alive, r.id)
 	}
-	s.k = New(Options{TTL: simTTL, Report: simReport}, alive, s.now)
+	s.k = New(Options{TTL: simTTL, ReportInterval: simReport}, alive, s.now)
 	s.k.Configure([]resource.Upstream{engine("u", simSlots), engine("v", simSlots)}, map[string]float64{"a": 1, "b": 1}, s.now)
 }
 
@@ -136,7 +136,7 @@
 		case n == 34:
 			s.restart(r)
 		case n == 35:
-			s.k.RouterGone(r.id, s.now)
+			s.k.MarkRouterDead(r.id, s.now)
 		case n == 36 && takeOvers:
 			s.replaceKeeper()
 		}
--- a/pkg/keeper/slot.go
+++ b/pkg/keeper/slot.go
@@ -34,7 +34,7 @@
 
 // grantExpired reports whether the router can't start the grant any more.
 func (s *slot) grantExpired(o *Options, now time.Time) bool {
-	return !now.Before(s.lastSent.Add(o.TTL + o.Margin))
+	return !now.Before(s.lastSent.Add(o.TTL + o.TTLMargin))
 }
 
 // reclaimDue reports whether the slot is to be reclaimed because of elapsed time alone.
@@ -50,7 +50,7 @@
 	case lastHeard.Before(s.lastConfirmed):
 		lastHeard = s.lastConfirmed
 	}
-	return !now.Before(lastHeard.Add(o.Silent))
+	return !now.Before(lastHeard.Add(o.SilenceTimeout))
 }
 
 func compareSlots(a, b *slot) int {
--- a/pkg/keeper/suspect.go
+++ b/pkg/keeper/suspect.go
@@ -26,7 +26,7 @@
 			return u
 		}
 	}
-	if k.draining == nil && p.now.Sub(c.waitingSince) >= k.options.SuspectPatience {
+	if k.draining == nil && p.now.Sub(c.waitingSince) >= k.options.SuspectDrainDelay {
 		k.draining, k.drainingFor = p.leastLoaded(c), c
 	}
 	return nil
@@ -53,16 +53,16 @@
 	return n
 }
 
-// Suspected checks the waiting claims of a content again after Options.Deaths has changed
+// UpdateSuspect checks the waiting claims of a content again after Options.Deaths has changed
 // for it: they are refused, or isolated to run alone.
-func (k *Keeper) Suspected(content uint64) {
+func (k *Keeper) UpdateSuspect(content uint64) {
 	for _, id := range sortedRouters(k.routers) {
 		for _, c := range sortedClaims(k.routers[id].waiting) {
 			if c.Content != content {
 				continue
 			}
 			switch n := k.crashes(c); {
-			case n >= k.options.MaxDeaths:
+			case n >= k.options.MaxCrashes:
 				k.drop(c)
 				k.refuse(c.claimKey, wire.RefusedQuarantine, 0)
 			case n > 0:
--- a/pkg/keeper/suspect_test.go
+++ b/pkg/keeper/suspect_test.go
@@ -10,7 +10,7 @@
 const crashingContent = 666
 
 func newSuspectHarness(t *testing.T, crashes *int, slots int) *harness {
-	o := Options{Deaths: func(content uint64) int {
+	o := Options{Crashes: func(content uint64) int {
 		if content == crashingContent {
 			return *crashes
 		}
@@ -79,7 +79,7 @@
 	h.suspect(2)
 	equal(t, 2, len(grants(h.next())))
 	crashes = 2
-	h.k.Suspected(crashingContent)
+	h.k.UpdateSuspect(crashingContent)
 	equal(t, []wire.RefusalReason{wire.RefusedQuarantine}, refusals(h.next()))
 	equal(t, 2, h.k.Backlog())
 }
@@ -144,6 +144,6 @@
 	equal(t, []wire.ClaimID{2}, grants(h.next()))
 	equal(t, 0, len(h.advance(500*time.Millisecond)))
 	crashes = 2
-	h.k.Suspected(crashingContent)
+	h.k.UpdateSuspect(crashingContent)
 	equal(t, []wire.RefusalReason{wire.RefusedQuarantine}, refusals(h.next()))
 }
--- a/pkg/keeper/takeover.go
+++ b/pkg/keeper/takeover.go
@@ -7,7 +7,7 @@
 // the service that organisations have already received.
 func (k *Keeper) startTakeover(now time.Time) {
 	k.takingOver = true
-	k.takeoverDeadline = now.Add(k.options.Settle)
+	k.takeoverDeadline = now.Add(k.options.TakeoverTimeout)
 	k.takeoverStart, k.lastFirstReport = now, time.Time{}
 	for _, r := range k.routers {
 		r.reported = false
@@ -33,15 +33,15 @@
 }
 
 // participantsReported reports whether every router heard since the takeover began has sent
-// a Full report, and none sent its first one within the last Options.Skew.
+// a Full report, and none sent its first one within the last Options.MembershipSkew.
 //
 // The failure it guards against: routers with nothing in the cell send nothing, so after
-// each change of its keeper a cell would be idle for all of Options.Settle while requests
+// each change of its keeper a cell would be idle for all of Options.TakeoverTimeout while requests
 // wait. Routers learn of the change within the skew of membership updates, and those with
 // work in the cell report at once. If a router learns of it later, its upstreams briefly
 // get too much work: a short queue inside the engines, and no broken guarantee.
 func (k *Keeper) participantsReported(now time.Time) bool {
-	if k.lastFirstReport.IsZero() || now.Sub(k.lastFirstReport) < k.options.Skew {
+	if k.lastFirstReport.IsZero() || now.Sub(k.lastFirstReport) < k.options.MembershipSkew {
 		return false
 	}
 	for _, r := range k.routers {
--- a/pkg/keeper/takeover_test.go
+++ b/pkg/keeper/takeover_test.go
@@ -122,7 +122,7 @@
 	h.claim("r", 1, 1, "a")
 	leaving := h.next()[0].Grant.Upstream
 	h.k.Mark(wire.UpstreamMark{Upstream: leaving, Generation: 1, Leaving: true}, h.now)
-	var out []Out
+	var out []Message
 	for range 6 {
 		out = append(out, h.advance(500*time.Millisecond)...)
 		h.report("r", wire.Report{Waiting: []wire.ClaimID{1}})
--- a/pkg/keeping/handle.go
+++ b/pkg/keeping/handle.go
@@ -7,7 +7,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-func (d *Duty) handle(e event, now time.Time) {
+func (d *Manager) handle(e event, now time.Time) {
 	switch {
 	case e.mark != nil:
 		d.applyMark(*e.mark, now)
@@ -18,14 +18,14 @@
 	}
 }
 
-func (d *Duty) updateSuspect(content uint64) {
+func (d *Manager) updateSuspect(content uint64) {
 	for _, k := range d.keepers {
-		k.Suspected(content)
+		k.UpdateSuspect(content)
 	}
 	d.markAllDirty()
 }
 
-func (d *Duty) handleFrame(e event, now time.Time) {
+func (d *Manager) handleFrame(e event, now time.Time) {
 	f := e.frame
 	for _, r := range f.Reports {
 		d.report(e.from, f.Life, r, now)
@@ -48,7 +48,7 @@
 // claim passes a claim to its keeper, or refuses it if another router keeps the cell: the
 // sender's view of the membership is older or newer than ours, and an answer saves it a
 // wait.
-func (d *Duty) claim(from wire.RouterID, life wire.Incarnation, c wire.Claim, now time.Time) {
+func (d *Manager) claim(from wire.RouterID, life wire.Incarnation, c wire.Claim, now time.Time) {
 	if k := d.activeKeeper(c.Cell); k != nil {
 		k.Claim(from, life, c, now)
 		return
@@ -58,7 +58,7 @@
 	})
 }
 
-func (d *Duty) report(from wire.RouterID, life wire.Incarnation, r wire.Report, now time.Time) {
+func (d *Manager) report(from wire.RouterID, life wire.Incarnation, r wire.Report, now time.Time) {
 	for _, m := range r.Down {
 		d.applyMark(m, now)
 	}
@@ -70,7 +70,7 @@
 	d.sender.Send(from, func(f *wire.Frame) { f.States = append(f.States, state) })
 }
 
-func (d *Duty) applyMark(m wire.UpstreamMark, now time.Time) {
+func (d *Manager) applyMark(m wire.UpstreamMark, now time.Time) {
 	if known, ok := d.marks[m.Upstream]; ok && known.Generation >= m.Generation {
 		return
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-func (d *Duty) activeKeeper(cell wire.CellID) *keeper.Keeper {
+func (d *Manager) activeKeeper(cell wire.CellID) *keeper.Keeper {
 	k := d.keepers[cell]
 	if k != nil {
 		d.dirty[cell] = true
@@ -89,14 +89,14 @@
 	return k
 }
 
-func (d *Duty) markAllDirty() {
+func (d *Manager) markAllDirty() {
 	for id := range d.keepers {
 		d.dirty[id] = true
 	}
 }
 
 // flush sends the messages of the dirty keepers.
-func (d *Duty) flush(now time.Time) {
+func (d *Manager) flush(now time.Time) {
 	for id := range d.dirty {
 		if k := d.keepers[id]; k != nil {
 			d.send(k.Next(now))
@@ -105,7 +105,7 @@
 	clear(d.dirty)
 }
 
-func (d *Duty) send(outs []keeper.Out) {
+func (d *Manager) send(outs []keeper.Message) {
 	for _, o := range outs {
 		d.sender.Send(o.To, func(f *wire.Frame) {
 			if o.Grant != nil {
--- a/pkg/keeping/manager.go
+++ b/pkg/keeping/manager.go
@@ -17,8 +17,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Tick is how often keepers handle what is due because of elapsed time.
-const Tick = 20 * time.Millisecond
+// TickInterval is how often keepers handle what is due because of elapsed time.
+const TickInterval = 20 * time.Millisecond
 
 // maxEvents bounds the events that wait for the event loop.
 const maxEvents = 8192
@@ -53,8 +53,8 @@
 	content uint64
 }
 
-// Duty owns the keepers of this router. It handles messages only while Run is running.
-type Duty struct {
+// Manager owns the keepers of this router. It handles messages only while Run is running.
+type Manager struct {
 	directory Directory
 	sender    Sender
 	options   Options
@@ -70,12 +70,12 @@
 	marks       map[string]wire.UpstreamMark
 	index       *resource.Index
 	dirty       map[wire.CellID]bool
-	grantCounts keeper.Granted
+	grantCounts keeper.GrantCounts
 }
 
 // New returns a Duty without keepers.
-func New(d Directory, s Sender, o Options) *Duty {
-	duty := &Duty{
+func New(d Directory, s Sender, o Options) *Manager {
+	manager := &Manager{
 		directory: d,
 		sender:    s,
 		options:   o,
@@ -86,14 +86,14 @@
 		marks:     make(map[string]wire.UpstreamMark),
 		dirty:     make(map[wire.CellID]bool),
 	}
-	duty.stats.Store(&Stats{})
-	return duty
+	manager.stats.Store(&Stats{})
+	return manager
 }
 
 // HandleFrame passes on the messages for keepers in a frame. It never blocks: every message
 // is sent again by its router until it is answered, so one may be dropped when the queue is
 // full.
-func (d *Duty) HandleFrame(from wire.RouterID, f *wire.Frame) {
+func (d *Manager) HandleFrame(from wire.RouterID, f *wire.Frame) {
 	if len(f.Claims)+len(f.Cancels)+len(f.Dones)+len(f.Reports) == 0 {
 		return
 	}
@@ -101,15 +101,15 @@
 }
 
 // Mark tells the keepers that an upstream is leaving or has come back.
-func (d *Duty) Mark(m wire.UpstreamMark) { d.enqueue(event{mark: &m}) }
+func (d *Manager) Mark(m wire.UpstreamMark) { d.enqueue(event{mark: &m}) }
 
-// Suspected tells the keepers that the number of crashes under a content changed: its
+// UpdateSuspect tells the keepers that the number of crashes under a content changed: its
 // waiting claims are refused, or isolated to run alone, at once and not only when their
 // turn comes.
-func (d *Duty) Suspected(content uint64) { d.enqueue(event{content: content}) }
+func (d *Manager) UpdateSuspect(content uint64) { d.enqueue(event{content: content}) }
 
 // Changed tells the event loop that the configuration or the membership changed.
-func (d *Duty) Changed() {
+func (d *Manager) Changed() {
 	select {
 	case d.changed <- struct{}{}:
 	default:
@@ -117,9 +117,9 @@
 }
 
 // Dropped returns the number of events dropped because the event loop was behind.
-func (d *Duty) Dropped() uint64 { return d.dropped.Load() }
+func (d *Manager) Dropped() uint64 { return d.dropped.Load() }
 
-func (d *Duty) enqueue(e event) {
+func (d *Manager) enqueue(e event) {
 	select {
 	case d.events <- e:
 	default:
@@ -129,8 +129,8 @@
 
 // Run is the event loop. When ctx ends it hands its cells over: their waiting claims are
 // refused, so that routers claim at the next keepers at once.
-func (d *Duty) Run(ctx context.Context) {
-	tick := time.NewTicker(Tick)
+func (d *Manager) Run(ctx context.Context) {
+	tick := time.NewTicker(TickInterval)
 	defer tick.Stop()
 	d.refresh(time.Now())
 	for {
@@ -153,7 +153,7 @@
 }
 
 // handlePending handles all queued events, so that one decision serves a burst.
-func (d *Duty) handlePending(now time.Time) {
+func (d *Manager) handlePending(now time.Time) {
 	for range len(d.events) {
 		d.handle(<-d.events, now)
 	}
--- a/pkg/keeping/manager_test.go
+++ b/pkg/keeping/manager_test.go
@@ -65,10 +65,10 @@
 }
 
 // start runs a Duty that keeps the cell; its takeover has ended when start returns.
-func start(t *testing.T) (*Duty, *fakeFleet) {
+func start(t *testing.T) (*Manager, *fakeFleet) {
 	w := &fakeFleet{index: snapshot(), keeps: true, alive: []wire.RouterID{"r1"}, frames: map[wire.RouterID]*wire.Frame{}}
 	d := New(w, w, Options{
-		Keeper: keeper.Options{TTL: 2 * time.Second, Report: 500 * time.Millisecond},
+		Keeper: keeper.Options{TTL: 2 * time.Second, ReportInterval: 500 * time.Millisecond},
 		Log:    &log.Logger{Handler: discard.Default},
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/pkg/keeping/refresh.go
+++ b/pkg/keeping/refresh.go
@@ -10,7 +10,7 @@
 
 // refresh creates, configures and ends keepers after a change of the configuration or the
 // membership.
-func (d *Duty) refresh(now time.Time) {
+func (d *Manager) refresh(now time.Time) {
 	index := d.directory.Index()
 	if index == nil {
 		return
@@ -26,8 +26,8 @@
 		}
 		if !known || reconfigure {
 			k.Configure(upstreamsOf(cell), weights, now)
-			k.GrantAhead(cell.Pool.GrantAhead)
-			k.KeepHeadroom(!cell.Pool.NeverIdle && d.options.Keeper.Slices <= 1)
+			k.SetGrantAhead(cell.Pool.GrantAhead)
+			k.EnableHeadroom(!cell.Pool.NeverIdle && d.options.Keeper.Slices <= 1)
 		}
 	}
 	for id, k := range d.keepers {
@@ -41,7 +41,7 @@
 	d.flush(now)
 }
 
-func (d *Duty) keptCells(index *resource.Index) map[wire.CellID]*resource.Cell {
+func (d *Manager) keptCells(index *resource.Index) map[wire.CellID]*resource.Cell {
 	kept := make(map[wire.CellID]*resource.Cell)
 	for _, pool := range index.Snapshot().Pools {
 		for _, cell := range index.Cells(pool.Name) {
@@ -53,7 +53,7 @@
 	return kept
 }
 
-func (d *Duty) newKeeper(id wire.CellID, alive []wire.RouterID, now time.Time) *keeper.Keeper {
+func (d *Manager) newKeeper(id wire.CellID, alive []wire.RouterID, now time.Time) *keeper.Keeper {
 	o := d.options.Keeper
 	o.Cell = id
 	k := keeper.New(o, alive, now)
@@ -65,23 +65,23 @@
 	return k
 }
 
-func (d *Duty) handOver(id wire.CellID, k *keeper.Keeper, now time.Time) {
-	k.Leave()
+func (d *Manager) handOver(id wire.CellID, k *keeper.Keeper, now time.Time) {
+	k.HandOver()
 	d.send(k.Next(now))
-	d.grantCounts.Add(k.TakeGranted())
+	d.grantCounts.Add(k.TakeGrantCounts())
 	delete(d.keepers, id)
 	delete(d.dirty, id)
 	d.options.Log.WithField("cell", id).Info("handed cell over")
 }
 
-func (d *Duty) handOverAll(now time.Time) {
+func (d *Manager) handOverAll(now time.Time) {
 	for id, k := range d.keepers {
 		d.handOver(id, k, now)
 	}
 }
 
 // reportDead tells the keepers which routers are no longer alive.
-func (d *Duty) reportDead(alive []wire.RouterID, now time.Time) {
+func (d *Manager) reportDead(alive []wire.RouterID, now time.Time) {
 	current := make(map[wire.RouterID]bool, len(alive))
 	for _, id := range alive {
 		current[id] = true
@@ -91,7 +91,7 @@
 			continue
 		}
 		for _, k := range d.keepers {
-			k.RouterGone(id, now)
+			k.MarkRouterDead(id, now)
 		}
 	}
 	d.alive = current
--- a/pkg/keeping/stats.go
+++ b/pkg/keeping/stats.go
@@ -15,22 +15,22 @@
 	// Gap is the largest difference between the virtual counters of backlogged
 	// organisations in one cell, in units.
 	Gap float64
-	// Granted counts grants since the start.
-	Granted keeper.Granted
+	// Grants counts grants since the start.
+	Grants keeper.GrantCounts
 }
 
 // Stats returns the sums as of the last tick.
-func (d *Duty) Stats() Stats { return *d.stats.Load() }
+func (d *Manager) Stats() Stats { return *d.stats.Load() }
 
-func (d *Duty) publishStats(now time.Time) {
+func (d *Manager) publishStats(now time.Time) {
 	s := Stats{Cells: len(d.keepers)}
 	for _, k := range d.keepers {
 		s.Slots += k.Slots()
 		s.Spare += k.Spare(now)
 		s.Backlog += k.Backlog()
 		s.Gap = max(s.Gap, k.Gap())
-		d.grantCounts.Add(k.TakeGranted())
+		d.grantCounts.Add(k.TakeGrantCounts())
 	}
-	s.Granted = d.grantCounts
+	s.Grants = d.grantCounts
 	d.stats.Store(&s)
 }
--- a/pkg/slopes/cell.go
+++ b/pkg/slopes/cell.go
@@ -77,12 +77,12 @@
 	orgs    int
 	now     time.Time
 	next    wire.ClaimID
-	running []keeper.Out
+	running []keeper.Message
 }
 
 func newCell(orgs, waiting int) *cell {
 	c := &cell{orgs: orgs, now: time.Now()}
-	c.k = keeper.New(keeper.Options{MaxWaiting: 1 << 20, MaxWaitingOrg: 1 << 20}, nil, c.now)
+	c.k = keeper.New(keeper.Options{MaxWaiting: 1 << 20, MaxWaitingPerOrg: 1 << 20}, nil, c.now)
 	weights := make(map[string]float64)
 	for i := range max(orgs, fullOrgs) {
 		weights[orgName(i)] = 1
--- a/pkg/slopes/pair.go
+++ b/pkg/slopes/pair.go
@@ -83,7 +83,7 @@
 // router hands a frame's messages to claimant and keeping.
 type router struct {
 	claimant *claimant.Claimant
-	keeping  *keeping.Duty
+	keeping  *keeping.Manager
 }
 
 // HandleFrame implements peer.Handler.
