--- a/pkg/keeper/suspect.go
+++ b/pkg/keeper/suspect.go
@@ -12,7 +12,7 @@
 // next crash would break unrelated requests. Alone it harms only the upstream, and a crash
 // then identifies the content.
 //
-// Under load no upstream becomes idle by itself. After Options.SuspectPatience a suspect
+// Under load no upstream becomes idle by itself. After Options.SuspectDrainDelay a suspect
 // whose turn it is gets an upstream drained for it. At most one suspect of the cell runs or
 // has an upstream drained at a time, so other requests lose a part of the capacity for a
 // short time and keep the other upstreams.
@@ -53,7 +53,7 @@
 	return n
 }
 
-// UpdateSuspect checks the waiting claims of a content again after Options.Deaths has changed
+// UpdateSuspect checks the waiting claims of a content again after Options.Crashes has changed
 // for it: they are refused, or isolated to run alone.
 func (k *Keeper) UpdateSuspect(content uint64) {
 	for _, id := range sortedRouters(k.routers) {
--- a/pkg/keeping/manager.go
+++ b/pkg/keeping/manager.go
@@ -1,7 +1,7 @@
 // Package keeping runs the cell keepers of one router.
 //
 // The configuration in force and the membership determine which cells the router keeps.
-// Duty creates and ends keepers as these change, passes other routers' messages to them,
+// Manager creates and ends keepers as these change, passes other routers' messages to them,
 // and sends the resulting messages. Its event loop owns all keepers.
 package keeping
 
@@ -38,7 +38,7 @@
 	Send(to wire.RouterID, add func(*wire.Frame))
 }
 
-// Options configures a Duty.
+// Options configures a Manager.
 type Options struct {
 	// Keeper is the template for the options of each cell's keeper; Cell is filled in.
 	Keeper keeper.Options
@@ -73,7 +73,7 @@
 	grantCounts keeper.GrantCounts
 }
 
-// New returns a Duty without keepers.
+// New returns a Manager without keepers.
 func New(d Directory, s Sender, o Options) *Manager {
 	manager := &Manager{
 		directory: d,
--- a/pkg/keeping/manager_test.go
+++ b/pkg/keeping/manager_test.go
@@ -17,7 +17,7 @@
 
 const cell = wire.CellID("models/0")
 
-// fakeFleet is the directory and the sender of a Duty under test.
+// fakeFleet is the directory and the sender of a Manager under test.
 type fakeFleet struct {
 	mu     sync.Mutex
 	index  *resource.Index
@@ -64,7 +64,7 @@
 	})
 }
 
-// start runs a Duty that keeps the cell; its takeover has ended when start returns.
+// start runs a Manager that keeps the cell; its takeover has ended when start returns.
 func start(t *testing.T) (*Manager, *fakeFleet) {
 	w := &fakeFleet{index: snapshot(), keeps: true, alive: []wire.RouterID{"r1"}, frames: map[wire.RouterID]*wire.Frame{}}
 	d := New(w, w, Options{
