--- a/pkg/keeping/handle.go
+++ b/pkg/keeping/handle.go
@@ -7,36 +7,36 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-func (d *Duty) handle(e event, now time.Time) {
+func (d *Manager) handle(e event, now time.Time) {
 	switch {
 	case e.mark != nil:
 		d.applyMark(*e.mark, now)
 	case e.frame != nil:
 		d.handleFrame(e, now)
 	default:
-		d.suspected(e.content)
+		d.updateSuspect(e.content)
 	}
 }
 
-func (d *Duty) suspected(content uint64) {
+func (d *Manager) updateSuspect(content uint64) {
 	for _, k := range d.keepers {
-		k.Suspected(content)
+		k.UpdateSuspect(content)
 	}
-	d.touchAll()
+	d.markAllDirty()
 }
 
-func (d *Duty) handleFrame(e event, now time.Time) {
+func (d *Manager) handleFrame(e event, now time.Time) {
 	f := e.frame
 	for _, r := range f.Reports {
 		d.report(e.from, f.Life, r, now)
 	}
 	for _, done := range f.Dones {
-		if k := d.touch(done.Cell); k != nil {
+		if k := d.activeKeeper(done.Cell); k != nil {
 			k.Done(e.from, f.Life, done, now)
 		}
 	}
 	for _, c := range f.Cancels {
-		if k := d.touch(c.Cell); k != nil {
+		if k := d.activeKeeper(c.Cell); k != nil {
 			k.Cancel(e.from, f.Life, c, now)
 		}
 	}
@@ -45,10 +45,11 @@
 	}
 }
 
-// claim refuses what belongs to another keeper: the router's view of the membership
-// is older or newer than ours, and an answer beats a wait.
-func (d *Duty) claim(from wire.RouterID, life wire.Incarnation, c wire.Claim, now time.Time) {
-	if k := d.touch(c.Cell); k != nil {
+// claim passes a claim to its keeper, or refuses it if another router keeps the cell: the
+// sender's view of the membership is older or newer than ours, and an answer saves it a
+// wait.
+func (d *Manager) claim(from wire.RouterID, life wire.Incarnation, c wire.Claim, now time.Time) {
+	if k := d.activeKeeper(c.Cell); k != nil {
 		k.Claim(from, life, c, now)
 		return
 	}
@@ -57,11 +58,11 @@
 	})
 }
 
-func (d *Duty) report(from wire.RouterID, life wire.Incarnation, r wire.Report, now time.Time) {
+func (d *Manager) report(from wire.RouterID, life wire.Incarnation, r wire.Report, now time.Time) {
 	for _, m := range r.Down {
 		d.applyMark(m, now)
 	}
-	k := d.touch(r.Cell)
+	k := d.activeKeeper(r.Cell)
 	if k == nil {
 		return
 	}
@@ -69,42 +70,42 @@
 	d.sender.Send(from, func(f *wire.Frame) { f.States = append(f.States, state) })
 }
 
-func (d *Duty) applyMark(m wire.UpstreamMark, now time.Time) {
+func (d *Manager) applyMark(m wire.UpstreamMark, now time.Time) {
 	if known, ok := d.marks[m.Upstream]; ok && known.Generation >= m.Generation {
 		return
 	}
 	d.marks[m.Upstream] = m
 	for id, k := range d.keepers {
 		k.Mark(m, now)
-		d.touched[id] = true
+		d.dirty[id] = true
 	}
 }
 
-func (d *Duty) touch(cell wire.CellID) *keeper.Keeper {
+func (d *Manager) activeKeeper(cell wire.CellID) *keeper.Keeper {
 	k := d.keepers[cell]
 	if k != nil {
-		d.touched[cell] = true
+		d.dirty[cell] = true
 	}
 	return k
 }
 
-func (d *Duty) touchAll() {
+func (d *Manager) markAllDirty() {
 	for id := range d.keepers {
-		d.touched[id] = true
+		d.dirty[id] = true
 	}
 }
 
-// flush sends what the touched keepers decide.
-func (d *Duty) flush(now time.Time) {
-	for id := range d.touched {
+// flush sends the messages of the dirty keepers.
+func (d *Manager) flush(now time.Time) {
+	for id := range d.dirty {
 		if k := d.keepers[id]; k != nil {
 			d.send(k.Next(now))
 		}
 	}
-	clear(d.touched)
+	clear(d.dirty)
 }
 
-func (d *Duty) send(outs []keeper.Out) {
+func (d *Manager) send(outs []keeper.Message) {
 	for _, o := range outs {
 		d.sender.Send(o.To, func(f *wire.Frame) {
 			if o.Grant != nil {
