--- a/pkg/backoff/backoff.go
+++ b/pkg/backoff/backoff.go
@@ -1,10 +1,10 @@
-// Package backoff paces calls to a service that fails or is busy.
+// Package backoff paces calls to a service that fails or is overloaded.
 //
-// Load pattern: the operators' store turns calls away for some seconds, and each router of a
-// large fleet asks again at once. All calls are paid for, also those that are refused, and a
-// store that comes back meets all of them together. So a caller's pauses double, up to a bound
-// that grows with the number of callers: the whole fleet's calls stay about as many as those of
-// a few routers, and a small fleet notices the return at once.
+// When the operators' store refuses calls for some seconds, each router of a large fleet would
+// otherwise retry at once. Every call is paid for, refused ones included, and a store that recovers
+// would receive all retries together. Pauses therefore double up to a bound that grows with the
+// number of callers: a large fleet makes about as many calls as a few routers do, and a small fleet
+// notices the recovery at once.
 package backoff
 
 import (
@@ -15,40 +15,40 @@
 const (
 	// First is the pause after the first failure, which may have been a single lost packet.
 	First = 200 * time.Millisecond
-	// longest bounds the pauses of fleets up to largeFleet, so that a router that nobody tells
-	// of the store's return comes back to it within this time; in larger ones it grows with
-	// them up to longestOfAll.
-	longest      = 3 * time.Second
-	largeFleet   = 80
-	longestOfAll = time.Minute
-	// quickCallers is how many callers may ask again without their pauses growing.
-	quickCallers = 8
-	// spread is the part of a pause that is left to chance, so that callers who failed together
-	// don't come back together.
-	spread = 0.3
+	// baseMaxPause bounds the pauses in fleets of up to largeFleet callers, so that a router that
+	// no other router informs of the store's recovery notices it within this time. In larger fleets
+	// the bound grows with the number of callers up to largeFleetMaxPause.
+	baseMaxPause       = 3 * time.Second
+	largeFleet         = 80
+	largeFleetMaxPause = time.Minute
+	// smallFleet is the largest number of callers whose pauses do not grow.
+	smallFleet = 8
+	// jitter is the random part of a pause, so that callers that failed together do not retry
+	// together.
+	jitter = 0.3
 )
 
-// Backoff counts failures in a row. The zero value is ready.
+// Backoff computes the pauses between failed calls. The zero value is ready to use.
 type Backoff struct {
 	pause time.Duration
 }
 
-// Succeeded makes the next failure the first.
+// Succeeded resets the pause.
 func (b *Backoff) Succeeded() { b.pause = 0 }
 
-// Failed gives the pause before the next call, when that many callers share the service.
+// Failed returns the pause before the next call when the given number of callers share the service.
 func (b *Backoff) Failed(callers int) time.Duration {
 	b.pause = min(max(First, 2*b.pause), Longest(callers))
-	return time.Duration(float64(b.pause) * (1 - spread*rand.Float64()))
+	return time.Duration(float64(b.pause) * (1 - jitter*rand.Float64()))
 }
 
-// Longest is the longest pause among that many callers.
+// Longest returns the longest pause for a number of callers.
 func Longest(callers int) time.Duration {
-	if callers <= quickCallers {
+	if callers <= smallFleet {
 		return First
 	}
 	if callers > largeFleet {
-		return min(longestOfAll, longest*time.Duration(callers)/largeFleet)
+		return min(largeFleetMaxPause, baseMaxPause*time.Duration(callers)/largeFleet)
 	}
-	return min(longest, First*time.Duration(callers)/quickCallers*2)
+	return min(baseMaxPause, First*time.Duration(callers)/smallFleet*2)
 }
--- a/pkg/backoff/backoff_test.go
+++ b/pkg/backoff/backoff_test.go
@@ -12,11 +12,11 @@
 	before := time.Duration(0)
 	for range 10 {
 		pause := b.Failed(63)
-		require.Greater(t, 2*pause, before, "never shorter but for chance")
+		require.Greater(t, 2*pause, before, "shorter than the pause before by more than the jitter")
 		require.LessOrEqual(t, pause, Longest(63))
 		before = pause
 	}
-	require.Greater(t, before, time.Duration((1-spread)*float64(Longest(63))-1))
+	require.Greater(t, before, time.Duration((1-jitter)*float64(Longest(63))-1))
 	b.Succeeded()
 	require.LessOrEqual(t, b.Failed(63), First)
 }
@@ -30,10 +30,10 @@
 
 func TestTheLongestPauseGrowsWithTheFleet(t *testing.T) {
 	require.Less(t, Longest(12), Longest(30))
-	require.Equal(t, longest, Longest(80))
-	require.Equal(t, longestOfAll, Longest(100_000))
+	require.Equal(t, baseMaxPause, Longest(80))
+	require.Equal(t, largeFleetMaxPause, Longest(100_000))
 	for _, callers := range []int{30, 300, 1000} {
-		require.LessOrEqual(t, float64(callers)/Longest(callers).Seconds(), 27.0, "calls a second of %d that wait longest", callers)
+		require.LessOrEqual(t, float64(callers)/Longest(callers).Seconds(), 27.0, "calls a second by %d callers at their longest pause", callers)
 	}
 	require.Equal(t, First, Longest(0))
 }
--- a/pkg/marks/store_test.go
+++ b/pkg/marks/store_test.go
@@ -13,23 +13,24 @@
 	return platform.HostList{Generation: generation, Hosts: []platform.Host{{Name: "e1", Kind: platform.HostUpstream, State: state}}}
 }
 
-// An engine leaves, and a router that was cut off sends an older mark by which it is
-// still there. Were the later message to win, the engine would get work again while
-// its host shuts down, and callers would see their answers cut.
+// Guards against an outdated mark, sent by a router that was cut off, that replaces a newer one: a
+// leaving engine would get work again while its host shuts down, and callers would see their
+// responses cut off.
 func TestAnOldMarkDoesNotBringALeavingUpstreamBack(t *testing.T) {
 	s := NewStore(func(wire.UpstreamMark) {})
 	s.Read(upstreamList(7, platform.HostLeaving))
 	s.MergeMarks("r2", []wire.UpstreamMark{{Upstream: "e1", Generation: 6}})
 	if !s.Leaving("e1") {
-		t.Fatal("the older mark won")
+		t.Fatal("an older mark replaced a newer one")
 	}
 	s.Read(upstreamList(8, platform.HostLive))
 	if s.Leaving("e1") {
-		t.Fatal("the newer list was not taken")
+		t.Fatal("the mark of the newer list was ignored")
 	}
 }
 
-// Marks come over several peers, late and twice: every order must end the same.
+// Marks arrive from several peers, late and more than once: the result must not depend on their
+// order.
 func TestMergeIgnoresOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		marks := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) wire.UpstreamMark {
@@ -40,7 +41,7 @@
 		a.MergeMarks("r1", marks)
 		b.MergeMarks("r2", rapid.Permutation(marks).Draw(t, "shuffled"))
 		if a.Leaving("e1") != b.Leaving("e1") {
-			t.Fatal("two orders of the same marks ended differently")
+			t.Fatal("merging the same marks in two orders gave different results")
 		}
 	})
 }
--- a/pkg/upstream/change.go
+++ b/pkg/upstream/change.go
@@ -1,7 +1,7 @@
 package upstream
 
-// Change is one step of the list of instances: Instance as it is now, or only its ID
-// when Gone.
+// Change is one change of the instance list: the new state of an instance or, when Gone, the
+// removal of the instance with its ID.
 type Change struct {
 	Instance Instance
 	Gone     bool
--- a/pkg/upstream/health.go
+++ b/pkg/upstream/health.go
@@ -5,52 +5,55 @@
 	"time"
 )
 
-// Figures of Health.
+// Parameters of Health.
 const (
-	// firstSuspension is how long an instance is left alone after its first failure to
-	// answer at all; each further one in a row doubles it up to maxSuspension. A crashed
-	// upstream is back after some seconds.
-	firstSuspension = 300 * time.Millisecond
-	maxSuspension   = 2500 * time.Millisecond
-	// failureWeight is the share of the newest outcome in the failure rate: about the
-	// last ten count.
+	// minSuspension is how long an instance gets no work after its first failed connection; each
+	// further failure in a row doubles the time up to maxSuspension. A crashed upstream is back
+	// after some seconds.
+	minSuspension = 300 * time.Millisecond
+	maxSuspension = 2500 * time.Millisecond
+	// failureWeight is the weight of the newest outcome in the failure rate, an EWMA over about the
+	// last ten outcomes.
 	failureWeight = 0.1
-	// failureHandicap is the handicap of an instance that fails all it is given.
+	// failureHandicap is the handicap of an instance that fails every request. Placement adds the
+	// handicap to the cost of an instance.
 	failureHandicap = 800 * time.Millisecond
-	// doubtHandicap is the handicap of an instance whose suspension has just ended.
-	doubtHandicap = 100 * time.Millisecond
+	// suspensionHandicap is the handicap for each failed connection in a row, once the suspension
+	// has ended.
+	suspensionHandicap = 100 * time.Millisecond
 )
 
-// Outcome is how an attempt at an instance went.
+// Outcome is the result of an attempt at an instance.
 type Outcome int
 
 // Outcomes of attempts.
 const (
-	// Served: an answer that is not a failure, whole.
+	// Served is a complete response that is not a failure.
 	Served Outcome = iota
-	// Failed: the instance answered, with a failure or with garbage.
+	// Failed is a response that reports a failure or is malformed.
 	Failed
-	// Silent: the instance could not be reached or broke off.
+	// Silent is a connection that could not be opened or broke off.
 	Silent
 )
 
-// Health keeps how lives of instances have done lately, from this router's own attempts. A
-// new life has a record of its own: what its predecessor failed at says nothing of it.
+// Health tracks the recent outcomes of instances as seen by this router's own attempts. Records are
+// kept for each life, as the failures of an earlier life say nothing about the next one.
 type Health struct {
 	mu      sync.Mutex
 	records map[Life]*record
 }
 
 type record struct {
-	silent int // Silent outcomes in a row
-	until  time.Time
-	rate   float64
+	connectionFailures int // Silent outcomes in a row, apart from those during a suspension
+	suspendedUntil     time.Time
+	failureRate        float64
 }
 
 // NewHealth returns an empty Health.
 func NewHealth() *Health { return &Health{records: make(map[Life]*record)} }
 
-// Observe notes an outcome; suspended is set when it starts a suspension.
+// Observe records an outcome. It returns the length of the suspension that the outcome starts, 0
+// for none.
 func (h *Health) Observe(life Life, o Outcome, now time.Time) (suspended time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,21 +63,21 @@
 		h.records[life] = r
 	}
 	if o == Served {
-		r.silent = 0
-		r.rate -= r.rate * failureWeight
+		r.connectionFailures = 0
+		r.failureRate -= r.failureRate * failureWeight
 		return 0
 	}
-	r.rate += (1 - r.rate) * failureWeight
+	r.failureRate += (1 - r.failureRate) * failureWeight
 	if o == Failed {
-		r.silent = 0
+		r.connectionFailures = 0
 		return 0
 	}
-	if now.Before(r.until) {
-		return 0 // one of several that broke off together
+	if now.Before(r.suspendedUntil) {
+		return 0 // connections to a crashed instance break off together and count once
 	}
-	suspended = min(maxSuspension, firstSuspension<<min(r.silent, 8))
-	r.silent++
-	r.until = now.Add(suspended)
+	suspended = min(maxSuspension, minSuspension<<min(r.connectionFailures, 8))
+	r.connectionFailures++
+	r.suspendedUntil = now.Add(suspended)
 	return suspended
 }
 
@@ -85,8 +88,8 @@
 	return h.records[life].usable(now)
 }
 
-// EachUsable gives the instances of list that may be given work, with their handicaps, all
-// as of one moment. take must not call Health.
+// EachUsable calls take for each instance of list that may be given work, with its handicap at now.
+// take must not call Health.
 func (h *Health) EachUsable(list []*Instance, now time.Time, take func(in *Instance, handicap time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,14 +104,14 @@
 	if r == nil {
 		return 0, true
 	}
-	if now.Before(r.until) {
+	if now.Before(r.suspendedUntil) {
 		return 0, false
 	}
-	handicap = time.Duration(float64(failureHandicap) * r.rate)
-	return handicap + time.Duration(r.silent)*doubtHandicap, true
+	handicap = time.Duration(float64(failureHandicap) * r.failureRate)
+	return handicap + time.Duration(r.connectionFailures)*suspensionHandicap, true
 }
 
-// Prune drops what is known of lives that set doesn't have.
+// Prune drops the records of lives that are no longer current in set.
 func (h *Health) Prune(set *Set) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/upstream/health_test.go
+++ b/pkg/upstream/health_test.go
@@ -9,20 +9,20 @@
 
 var a = Life{ID: "a", Start: 1}
 
-// An engine crashes with twenty requests on it. All twenty break off together; counted
-// as twenty failures in a row they would keep the engine out long after it is back.
+// Guards against counting one crash as many failures: all requests on a crashed engine break off
+// together, and twenty failures in a row would suspend it long after it is back.
 func TestHealthCountsOneCrashOnce(t *testing.T) {
 	h, now := NewHealth(), time.Unix(0, 0)
-	require.Equal(t, firstSuspension, h.Observe(a, Silent, now))
+	require.Equal(t, minSuspension, h.Observe(a, Silent, now))
 	for range 20 {
 		require.Zero(t, h.Observe(a, Silent, now))
 	}
 	_, ok := h.Usable(a, now)
 	require.False(t, ok)
-	handicap, ok := h.Usable(a, now.Add(firstSuspension))
+	handicap, ok := h.Usable(a, now.Add(minSuspension))
 	require.True(t, ok)
 	require.Positive(t, handicap)
-	require.Equal(t, 2*firstSuspension, h.Observe(a, Silent, now.Add(firstSuspension)))
+	require.Equal(t, 2*minSuspension, h.Observe(a, Silent, now.Add(minSuspension)))
 }
 
 func TestHealthHandicapsFailuresAndForgives(t *testing.T) {
@@ -51,5 +51,5 @@
 	require.True(t, differs)
 	require.Nil(t, next.Get("a"))
 	require.Equal(t, Draining, next.Get("b").State)
-	require.NotNil(t, s.Get("a"), "the old set stays as it was")
+	require.NotNil(t, s.Get("a"), "the old set is unchanged")
 }
--- a/pkg/upstream/instance.go
+++ b/pkg/upstream/instance.go
@@ -1,41 +1,41 @@
-// Package upstream holds the running instances of services.
+// Package upstream describes the running instances of services and tracks their health.
 package upstream
 
 import "time"
 
-// State is what an instance says of itself.
+// State is the state that an instance reports of itself.
 type State string
 
 const (
 	// Ready instances take new requests.
 	Ready State = "ready"
-	// Draining instances finish what they run and leave.
+	// Draining instances finish their running requests, take no new ones and then leave.
 	Draining State = "draining"
-	// Unusable stands for an entry of the list that names no instance to use. It keeps its
-	// place under its ID, so that whatever was known there before isn't used any more.
+	// Unusable marks a list entry that does not describe a usable instance. The entry stays in the
+	// list under its ID, so that an earlier entry of that ID is no longer used.
 	Unusable State = "unusable"
 )
 
-// ID names an upstream. Its process may start again under the same ID, see Life.
+// ID identifies an upstream. Its process may restart under the same ID, see Life.
 type ID string
 
-// Instance is one running upstream.
+// Instance is one running upstream. It is encoded under its Go field names.
 type Instance struct {
 	ID      ID
 	Service string
-	// Addr is IP:port.
+	// Addr is the address as IP:port.
 	Addr     string
 	Zone     string
 	Software string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the instance runs at once.
 	Slots int
 	State State
-	// Born is when the process started, in Unix milliseconds by its host's time of day.
+	// Born is the start time of the process in Unix milliseconds, by the wall clock of its host.
 	Born int64 `cbor:",omitempty"`
-	// WarmupTold is whether the instance says how long it stays cold, WarmupLeft what it said
-	// last; one that is warm says 0.
+	// WarmupTold is whether the instance reports the time left of its warm-up. WarmupLeft is the
+	// last reported time, 0 when the instance is warm.
 	WarmupTold bool          `cbor:",omitempty"`
 	WarmupLeft time.Duration `cbor:",omitempty"`
-	// Fault is what is wrong with an Unusable entry, a short text.
+	// Fault is a short description of what is wrong with an Unusable entry.
 	Fault string `cbor:",omitempty"`
 }
--- a/pkg/upstream/set.go
+++ b/pkg/upstream/set.go
@@ -2,13 +2,14 @@
 
 import "sort"
 
-// Set is an immutable list of instances, in order of ID.
+// Set is an immutable set of instances, indexed by ID and by service.
 type Set struct {
 	byID      map[ID]*Instance
 	byService map[string][]*Instance
 }
 
-// NewSet indexes list.
+// NewSet returns the set of the instances in list. Of several entries with one ID the last one
+// counts.
 func NewSet(list []Instance) *Set {
 	s := &Set{byID: make(map[ID]*Instance, len(list)), byService: make(map[string][]*Instance)}
 	for i := range list {
@@ -23,7 +24,8 @@
 	return s
 }
 
-// Apply gives the set after changes, and whether anything that matters differs.
+// Apply returns the set after changes, and whether it differs. An unchanged set is returned as it
+// is.
 func (s *Set) Apply(changes []Change) (*Set, bool) {
 	differs := false
 	next := make(map[ID]Instance, len(s.byID))
@@ -51,16 +53,16 @@
 	return NewSet(list), true
 }
 
-// Get finds an instance.
+// Get returns the instance with an ID; nil when there is none.
 func (s *Set) Get(id ID) *Instance { return s.byID[id] }
 
-// Lives reports whether life is the present one of its instance.
+// Lives reports whether life is the current one of its instance.
 func (s *Set) Lives(life Life) bool {
 	in := s.byID[life.ID]
 	return in != nil && in.State != Unusable && in.Life() == life
 }
 
-// HasZone reports whether any instance is in a zone.
+// HasZone reports whether any instance is in zone.
 func (s *Set) HasZone(zone string) bool {
 	for _, in := range s.byID {
 		if in.Zone == zone {
@@ -70,10 +72,10 @@
 	return false
 }
 
-// Of gives the instances of a service, in order of ID. Callers must not change it.
+// Of returns the instances of a service, ordered by ID. Callers must not change the list.
 func (s *Set) Of(service string) []*Instance { return s.byService[service] }
 
-// List gives all instances.
+// List returns all instances, in no particular order.
 func (s *Set) List() []Instance {
 	list := make([]Instance, 0, len(s.byID))
 	for _, in := range s.byID {
