--- a/pkg/catalog/basis.go
+++ b/pkg/catalog/basis.go
@@ -6,26 +6,27 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Basis is what a choice of an instance goes by.
+// Basis describes the instance list that an instance was chosen from.
 type Basis struct {
-	// Revision is that of the list, Age the time since it was last known to be current.
+	// Revision is the revision of the list, Age the time since the list was last known to be
+	// current.
 	Revision Revision
 	Age      time.Duration
-	// Held is whether the instance is missing from that list and kept for the grace after an
+	// Held is whether the instance is missing from that list and held for the grace period after an
 	// outage.
 	Held bool
 }
 
-// Basis gives what a choice of id at now goes by.
+// Basis returns the basis of a choice of instance id at now.
 func (c *Catalog) Basis(id upstream.ID, now time.Time) Basis {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Basis{Revision: c.revision, Age: now.Sub(c.heard), Held: c.lapsed.ids[id]}
+	return Basis{Revision: c.revision, Age: now.Sub(c.currentAt), Held: c.held.ids[id]}
 }
 
-// Holds is how often an instance was kept though it was missing from the list.
+// Holds returns how often an instance was held although it was missing from the list.
 func (c *Catalog) Holds() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.holds
+	return c.heldCount
 }
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -13,19 +13,19 @@
 
 // The store goes away for a minute. Requests are served on from the last copy, and what
 // changed meanwhile is there soon after its return.
-func TestCatalogOutlivesTheStore(t *testing.T) {
+func TestCatalogStaysInUseDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5}
-		c, h := start(t, s)
+		c, h := startWatcher(t, s)
 		time.Sleep(time.Second)
 		require.True(t, c.Complete())
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(time.Minute)
 		require.EqualValues(t, 1, c.Version())
 		require.NotNil(t, c.Instances().Get("a"))
 		require.Greater(t, c.InstancesAge(time.Now()), 50*time.Second)
 		require.Equal(t, 2, h.count("dependency_lost"), "each watch says so once")
-		s.set(func() { s.down, s.config, s.rev = false, &routing.Config{Version: 4}, 9 })
+		s.update(func() { s.down, s.config, s.rev = false, &routing.Config{Version: 4}, 9 })
 		time.Sleep(2 * time.Second)
 		require.EqualValues(t, 4, c.Version())
 		require.Equal(t, 2, h.count("dependency_regained"))
@@ -35,14 +35,14 @@
 // The store falls silent for some seconds; calls of that time are never answered, also
 // when it is back. The question for a newer configuration stays open for long: left to its
 // own timeout, it would keep a dropped key valid for half a minute.
-func TestCatalogAsksAnewAfterASilence(t *testing.T) {
+func TestConfigRequestIsRenewedAfterASilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5}
-		c, _ := start(t, s)
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.mute = true })
+		s.update(func() { s.unresponsive = true })
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.mute, s.config, s.rev = false, &routing.Config{Version: 2}, 6 })
+		s.update(func() { s.unresponsive, s.config, s.rev = false, &routing.Config{Version: 2}, 6 })
 		time.Sleep(4 * time.Second)
 		require.EqualValues(t, 2, c.Version())
 	})
@@ -50,12 +50,12 @@
 
 // The store has forgotten its history, and an instance left in the gap: only reading the
 // whole list shows it.
-func TestCatalogReadsAllWhenHistoryIsGone(t *testing.T) {
+func TestWholeListIsReadWhenHistoryIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}, {ID: "b"}}, rev: 5}
-		c, _ := start(t, s)
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.forgotten, s.instances, s.rev = 8, []upstream.Instance{{ID: "b"}}, 8 })
+		s.update(func() { s.compacted, s.instances, s.rev = 8, []upstream.Instance{{ID: "b"}}, 8 })
 		time.Sleep(1500 * time.Millisecond)
 		require.Nil(t, c.Instances().Get("a"))
 		require.NotNil(t, c.Instances().Get("b"))
@@ -65,10 +65,10 @@
 // Each router's own questions about upstreams would cost calls that grow with the fleet.
 // A router that is told by its peers asks nothing; when they fall silent, or none of them
 // reaches the store, it asks within a second and a half.
-func TestCatalogLeavesTheReadingToOthers(t *testing.T) {
+func TestFollowersDoNotReadTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5, follower: true}
-		c, _ := start(t, s)
+		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5, following: true}
+		c, _ := startWatcher(t, s)
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 			rev := c.InstancesRevision() + 1
@@ -76,11 +76,11 @@
 			c.Confirm(rev, time.Now())
 		}
 		s.mu.Lock()
-		require.LessOrEqual(t, s.asked, 1)
-		require.LessOrEqual(t, s.askedConfig, 1)
+		require.LessOrEqual(t, s.listRequests, 1)
+		require.LessOrEqual(t, s.configRequests, 1)
 		s.config, s.rev, s.changes = &routing.Config{Version: 2}, 100, []upstream.Change{{Instance: upstream.Instance{ID: "a"}, Gone: true}}
 		s.mu.Unlock()
-		time.Sleep(followerAge + 500*time.Millisecond)
+		time.Sleep(followerMaxAge + 500*time.Millisecond)
 		require.Nil(t, c.Instances().Get("a"))
 		require.EqualValues(t, 2, c.Version(), "nobody tells of it any more")
 		require.False(t, c.Same(25), "the list has become another since")
@@ -89,21 +89,21 @@
 
 // Nothing changes in the list for minutes, and a router that reads for many waits for a
 // change all that time. Those that go by it would take their list for old, and all ask.
-func TestCatalogIsConfirmedOftenForMany(t *testing.T) {
+func TestReadersForManyConfirmTheListOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5, many: true, patient: true}
-		c, _ := start(t, s)
+		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5, manyFollowers: true, longPoll: true}
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
 		for range 50 {
 			time.Sleep(100 * time.Millisecond)
-			require.Less(t, c.InstancesAge(time.Now()), followerAge-400*time.Millisecond)
+			require.Less(t, c.InstancesAge(time.Now()), followerMaxAge-400*time.Millisecond)
 		}
 	})
 }
 
 // An answer of the store is late and overtaken by a peer's word of a newer version.
 func TestCatalogNeverGoesBack(t *testing.T) {
-	l, _ := quiet()
+	l, _ := newTestLogger()
 	c := New(l)
 	c.Adopt(&routing.Config{Version: 7}, "peer")
 	c.Adopt(&routing.Config{Version: 6}, "store")
--- a/pkg/catalog/agree_test.go
+++ b/pkg/catalog/consistency_test.go
@@ -63,18 +63,18 @@
 	return list
 }
 
-// move is a step of a play: what is done, by whom, and how.
-type move struct{ what, router, peer, id, state, pause int }
+// action is a step of a play: what is done, by whom, and how.
+type action struct{ kind, router, peer, id, state, pause int }
 
-func drawMove(t *rapid.T) move {
-	return move{what: rapid.IntRange(0, 6).Draw(t, "what"), router: rapid.IntRange(0, 2).Draw(t, "router"), peer: rapid.IntRange(0, 2).Draw(t, "peer"),
+func drawAction(t *rapid.T) action {
+	return action{kind: rapid.IntRange(0, 6).Draw(t, "what"), router: rapid.IntRange(0, 2).Draw(t, "router"), peer: rapid.IntRange(0, 2).Draw(t, "peer"),
 		id: rapid.IntRange(0, 4).Draw(t, "id"), state: rapid.IntRange(0, 5).Draw(t, "state"), pause: rapid.IntRange(0, 5000).Draw(t, "pause")}
 }
 
-func (h *history) play(m move, routers []*Catalog) {
+func (h *history) perform(m action, routers []*Catalog) {
 	c, now := routers[m.router], time.Now()
 	rev := c.InstancesRevision()
-	switch m.what {
+	switch m.kind {
 	case 0, 1:
 		id, states := upstream.ID(fmt.Sprint(m.id)), []upstream.State{upstream.Ready, upstream.Ready, upstream.Draining, upstream.Unusable}
 		if m.state < len(states) {
@@ -89,7 +89,7 @@
 			c.Apply(h.changes(after, h.newest()), after, h.newest(), time.Now(), "store")
 		}
 	case 4:
-		h.ask(c, routers[m.peer])
+		h.catchUp(c, routers[m.peer])
 	case 5:
 		time.Sleep(time.Duration(m.pause) * time.Millisecond)
 	case 6: // all lapse, and are back unchanged
@@ -105,8 +105,8 @@
 	synctest.Wait()
 }
 
-// ask has c take what peer knows more.
-func (h *history) ask(c, peer *Catalog) {
+// catchUp has c take what peer knows more.
+func (h *history) catchUp(c, peer *Catalog) {
 	c.Vouch(peer.Contact())
 	rev := c.InstancesRevision()
 	given, at, _ := peer.List()
@@ -119,8 +119,8 @@
 	}
 }
 
-// differs gives the first router whose list isn't that of its revision; -1 for none.
-func (h *history) differs(routers []*Catalog) int {
+// firstInconsistent gives the first router whose list isn't that of its revision; -1 for none.
+func (h *history) firstInconsistent(routers []*Catalog) int {
 	for i, r := range routers {
 		set, at, _ := r.List()
 		if at == 0 {
@@ -140,15 +140,15 @@
 // Guards against routers whose lists differ at one revision, which "nothing changed since" relies on.
 func TestListsAgreeAtARevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		moves := rapid.SliceOfN(rapid.Custom(drawMove), 200, 300).Draw(rt, "moves")
+		moves := rapid.SliceOfN(rapid.Custom(drawAction), 200, 300).Draw(rt, "moves")
 		wrong := -1
 		synctest.Test(t, func(*testing.T) {
-			l, _ := quiet()
+			l, _ := newTestLogger()
 			h := &history{states: []map[upstream.ID]upstream.Instance{{}}}
 			routers := []*Catalog{New(l), New(l), New(l)}
 			for _, m := range moves {
-				if h.play(m, routers); wrong < 0 {
-					wrong = h.differs(routers)
+				if h.perform(m, routers); wrong < 0 {
+					wrong = h.firstInconsistent(routers)
 				}
 			}
 		})
--- a/pkg/catalog/contact.go
+++ b/pkg/catalog/contact.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Contact is a span of time in which the store was heard by some router, with no silence of outage
-// or longer. The zero value knows of none.
+// Contact is a span of time in which some router was in contact with the store, without an
+// interruption of minOutage or longer. The zero value means no contact.
 type Contact struct {
 	Since, Until time.Time
 }
 
-// join gives what two contacts say together: one span where no silence lies between them, else the
-// later one.
-func (c Contact) join(o Contact) Contact {
+// merge returns one span for both contacts if the gap between them is shorter than minOutage, else
+// the later one.
+func (c Contact) merge(o Contact) Contact {
 	switch {
 	case o.Until.IsZero() || o.Until.Before(o.Since):
 		return c
 	case c.Until.IsZero():
 		return o
-	case o.Since.Sub(c.Until) >= outage:
+	case o.Since.Sub(c.Until) >= minOutage:
 		return o
-	case c.Since.Sub(o.Until) >= outage:
+	case c.Since.Sub(o.Until) >= minOutage:
 		return c
 	}
 	if o.Since.Before(c.Since) {
@@ -30,5 +30,5 @@
 	return c
 }
 
-// covers reports whether the store was there from t on.
-func (c Contact) covers(t time.Time) bool { return c.Since.Sub(t) < outage }
+// covers reports whether the store was available from t on.
+func (c Contact) covers(t time.Time) bool { return c.Since.Sub(t) < minOutage }
--- a/pkg/catalog/contact_test.go
+++ b/pkg/catalog/contact_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a silence of the store that joined contacts hide.
-func TestJoinedContactsHideNoOutage(t *testing.T) {
+func TestMergedContactsHideNoOutage(t *testing.T) {
 	start := time.Unix(0, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		// The store answers at these times; each router hears some of the answers.
@@ -21,12 +21,12 @@
 			for _, a := range answers {
 				if a == tenth {
 					i := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
-					routers[i] = routers[i].join(Contact{Since: at(a), Until: at(a)})
+					routers[i] = routers[i].merge(Contact{Since: at(a), Until: at(a)})
 					heard[a] = true
 				}
 			}
 			i, j := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
-			routers[j] = routers[j].join(routers[i])
+			routers[j] = routers[j].merge(routers[i])
 			for _, r := range routers {
 				if r.Until.IsZero() {
 					continue
@@ -34,7 +34,7 @@
 				last := r.Since
 				for step := r.Since; !step.After(r.Until); step = step.Add(100 * time.Millisecond) {
 					if heard[int(step.Sub(start)/(100*time.Millisecond))] {
-						require.Less(t, step.Sub(last), outage)
+						require.Less(t, step.Sub(last), minOutage)
 						last = step
 					}
 				}
--- a/pkg/catalog/departures_test.go
+++ b/pkg/catalog/departures_test.go
@@ -12,12 +12,12 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// contactLimit is the time after the end of a disturbance from which on a router's list has to be
+// recoveryLimit is the time after the end of a disturbance from which on a router's list has to be
 // current.
-const contactLimit = 3 * time.Second
+const recoveryLimit = 3 * time.Second
 
-// ready gives n ready instances of a service.
-func ready(service string, n int) []upstream.Instance {
+// readyInstances gives n readyInstances instances of a service.
+func readyInstances(service string, n int) []upstream.Instance {
 	list := make([]upstream.Instance, n)
 	for i := range list {
 		list[i] = upstream.Instance{ID: upstream.ID(fmt.Sprint(service, i)), Service: service, State: upstream.Ready}
@@ -30,15 +30,15 @@
 }
 
 // Guards against a departure that is held back as a lapse, as the router alone was away.
-func TestDeparturesBehindACutAreNoLapses(t *testing.T) {
+func TestDeparturesWhileCutOffAreNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all := ready("s", 10)
-		s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5, patient: true}
-		c, _ := start(t, s)
+		all := readyInstances("s", 10)
+		s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5, longPoll: true}
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(8 * time.Second)
-		s.set(func() { s.down, s.instances, s.rev = false, all[1:], 9 })
+		s.update(func() { s.down, s.instances, s.rev = false, all[1:], 9 })
 		time.Sleep(500 * time.Millisecond)
 		require.Nil(t, c.Instances().Get(all[0].ID), "the store was there: nine of ten are on its list")
 		require.Len(t, c.Instances().Of("s"), 9)
@@ -46,71 +46,71 @@
 }
 
 // Guards against a removal after the router's return that is held back as a lapse.
-func TestRemovalsAfterAReturnAreNoLapses(t *testing.T) {
+func TestRemovalsAfterReconnectingAreNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all := ready("s", 10)
+		all := readyInstances("s", 10)
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5}
-		c, _ := start(t, s)
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(8 * time.Second)
-		s.set(func() { s.down, s.rev = false, 9 })
+		s.update(func() { s.down, s.rev = false, 9 })
 		time.Sleep(400 * time.Millisecond)
-		s.set(func() { s.changes, s.rev = removal(all[0]), 10 })
+		s.update(func() { s.changes, s.rev = removal(all[0]), 10 })
 		time.Sleep(instancesPause + 200*time.Millisecond)
 		require.Nil(t, c.Instances().Get(all[0].ID))
 	})
 }
 
 // Guards against a grace that ends with the next answer of the store in place of its own time.
-func TestTheGraceEndsOnTime(t *testing.T) {
+func TestGracePeriodEndsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all := ready("s", 10)
-		s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5, patient: true, prompt: true}
-		c, _ := start(t, s)
+		all := readyInstances("s", 10)
+		s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5, longPoll: true, endWaitOnChange: true}
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(8 * time.Second)
-		s.set(func() { s.down, s.instances, s.rev = false, nil, 9 })
+		s.update(func() { s.down, s.instances, s.rev = false, nil, 9 })
 		for c.InstancesRevision() < 9 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		require.Len(t, c.Instances().Of("s"), 10, "all lapsed")
 		// An answer just before the end of the grace begins a pause and then a question.
-		time.Sleep(lapseGrace - instancesPause)
-		s.set(func() { s.changes, s.rev = []upstream.Change{{Instance: all[0]}}, 10 })
+		time.Sleep(gracePeriod - instancesPause)
+		s.update(func() { s.changes, s.rev = []upstream.Change{{Instance: all[0]}}, 10 })
 		time.Sleep(instancesPause + 100*time.Millisecond)
 		require.Len(t, c.Instances().Of("s"), 1, "the others stayed away")
 	})
 }
 
 // Guards against a departure that is not known in time, as connections to the store went silent.
-func TestDeparturesAreKnownInTimeThoughConnectionsWentSilent(t *testing.T) {
+func TestDeparturesAreSeenInTimeOverSilentConnections(t *testing.T) {
 	for after := time.Duration(0); after < 4*time.Second; after += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			all := ready("s", 10)
-			s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5, patient: true, prompt: true}
-			c, _ := start(t, s)
+			all := readyInstances("s", 10)
+			s := &fakeStore{config: &routing.Config{Version: 1}, instances: all, rev: 5, longPoll: true, endWaitOnChange: true}
+			c, _ := startWatcher(t, s)
 			time.Sleep(3*time.Second + after)
-			leaving := append(ready("s", 10)[1:], upstream.Instance{ID: all[0].ID, Service: "s", State: upstream.Draining})
-			s.set(func() {
-				s.silenced = time.Now() // an open question gets no answer, nor does the next on its connection
+			leaving := append(readyInstances("s", 10)[1:], upstream.Instance{ID: all[0].ID, Service: "s", State: upstream.Draining})
+			s.update(func() {
+				s.connectionSilentSince = time.Now() // an open question gets no answer, nor does the next on its connection
 				s.instances, s.rev = leaving, 6
 				s.changes = []upstream.Change{{Instance: leaving[9]}}
 			})
-			time.Sleep(contactLimit)
+			time.Sleep(recoveryLimit)
 			require.Equal(t, upstream.Draining, c.Instances().Get(all[0].ID).State, "silent since %v", after)
 		})
 	}
 }
 
 // Guards against a grace that goes on though other routers heard the store all the while.
-func TestPeersThatHeardTheStoreEndAGrace(t *testing.T) {
+func TestPeersInContactWithTheStoreEndTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for name, first := range map[string]bool{"told before the list": true, "told after it": false} {
-			l, _ := quiet()
+			l, _ := newTestLogger()
 			c := New(l)
-			all := ready("s", 3)
+			all := readyInstances("s", 3)
 			c.Replace(all, 1, time.Now(), "store")
 			began := time.Now()
 			time.Sleep(8 * time.Second)
@@ -129,11 +129,11 @@
 }
 
 // Guards against instances that are given up, as a peer heard the store a part of the time.
-func TestPeersThatLostTheStoreTooEndNoGrace(t *testing.T) {
+func TestPeersThatLostTheStoreDoNotEndTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		c := New(l)
-		all := ready("s", 3)
+		all := readyInstances("s", 3)
 		c.Replace(all, 1, time.Now(), "store")
 		began := time.Now()
 		time.Sleep(8 * time.Second)
@@ -142,58 +142,58 @@
 		c.Vouch(Contact{Since: back, Until: time.Now()})
 		c.Replace(all[2:], 9, time.Now(), "store")
 		require.Len(t, c.Instances().Of("s"), 3, "they may have lapsed")
-		answering(time.Until(back.Add(lapseGrace)), c)
+		keepContact(time.Until(back.Add(gracePeriod)), c)
 		require.Len(t, c.Instances().Of("s"), 1, "the grace began with the store's return")
 	})
 }
 
 // Guards against an old list that passes for a current one, as its answer waited to be read.
-func TestAnswersThatWaitedAreAsOldAsTheyAre(t *testing.T) {
+func TestResponsesReadLateKeepTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{config: &routing.Config{Version: 1}, instances: ready("s", 3), rev: 5}
-		c, _ := start(t, s)
+		s := &fakeStore{config: &routing.Config{Version: 1}, instances: readyInstances("s", 3), rev: 5}
+		c, _ := startWatcher(t, s)
 		time.Sleep(3 * time.Second)
 		for c.InstancesAge(time.Now()) > 0 {
 			time.Sleep(time.Millisecond)
 		}
-		s.set(func() { s.standstill = 5 * time.Second })
+		s.update(func() { s.processPause = 5 * time.Second })
 		time.Sleep(instancesPause + 100*time.Millisecond + 5*time.Second + time.Millisecond)
 		require.GreaterOrEqual(t, c.InstancesAge(time.Now()), 5*time.Second)
 	})
 }
 
 // Guards against a grace that ends while the store is away again: nobody had the time to be back.
-func TestAStoreThatIsAwayAgainEndsNoGrace(t *testing.T) {
+func TestASecondOutageDoesNotEndTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{config: &routing.Config{Version: 1}, instances: ready("s", 10), rev: 5}
-		c, _ := start(t, s)
+		s := &fakeStore{config: &routing.Config{Version: 1}, instances: readyInstances("s", 10), rev: 5}
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(8 * time.Second)
-		s.set(func() { s.down, s.instances, s.rev = false, nil, 15 })
+		s.update(func() { s.down, s.instances, s.rev = false, nil, 15 })
 		for c.InstancesRevision() < 15 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(8 * time.Second)
 		require.Len(t, c.Instances().Of("s"), 10)
 	})
 }
 
 // Guards against entries that lapse just after the first list, which still had them all.
-func TestLapsesAfterAFullListAreKept(t *testing.T) {
+func TestInstancesThatExpireAfterAFullListAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		c := New(l)
-		all := ready("s", 6)
+		all := readyInstances("s", 6)
 		c.Replace(all, 1, time.Now(), "store")
-		time.Sleep(2 * outage)
+		time.Sleep(2 * minOutage)
 		c.Confirm(1, time.Now())
 		for i, in := range all {
 			c.Apply(removal(in), Revision(1+i), Revision(2+i), time.Now(), "store")
 		}
 		require.Len(t, c.Instances().Of("s"), 4, "two removals may have been departures")
-		answering(lapseGrace, c)
+		keepContact(gracePeriod, c)
 		require.Empty(t, c.Instances().Of("s"))
 	})
 }
--- a/pkg/catalog/dependency.go
+++ b/pkg/catalog/dependency.go
@@ -7,7 +7,8 @@
 	"github.com/juju/errors"
 )
 
-// dependency logs when something we depend on is lost and when it is back, once each.
+// dependency logs once when a service that this router depends on is lost, and once when it is
+// back.
 type dependency struct {
 	name  string
 	log   log.Interface
@@ -19,10 +20,10 @@
 	return &dependency{name: name, log: l, since: time.Now()}
 }
 
-// observe takes the outcome of a call that was begun at asked.
-func (d *dependency) observe(err error, asked time.Time) {
+// observe records the result of a call that began at startedAt.
+func (d *dependency) observe(err error, startedAt time.Time) {
 	if errors.Is(err, ErrHistoryGone) {
-		d.log.WithFields(log.Fields{"event": "history_gone", "dependency": d.name}).Info("history is gone, reading the whole table")
+		d.log.WithFields(log.Fields{"event": "history_gone", "dependency": d.name}).Info("history is gone, reading the complete state")
 		return
 	}
 	lost := err != nil
@@ -34,7 +35,7 @@
 	d.lost, d.since = lost, now
 	if lost {
 		fields["event"] = "dependency_lost"
-		fields["waited_ms"] = now.Sub(asked).Milliseconds()
+		fields["waited_ms"] = now.Sub(startedAt).Milliseconds()
 		d.log.WithFields(fields).WithError(err).Warn("dependency lost")
 		return
 	}
--- a/pkg/catalog/doc.go
+++ b/pkg/catalog/doc.go
@@ -1,6 +1,6 @@
-// Package catalog keeps a gateway's copy of what its operators' store says: the
-// configuration, the upstream instances and the other routers.
+// Package catalog keeps a gateway's copy of the state in the operators' store: the configuration,
+// the upstream instances and the evacuated zones. Copies come from the store or from other routers.
 //
-// A store that can't be reached stops nothing: the newest copy stays in force, and its
-// age is shown. Copies only move forward: an older answer never replaces a newer copy.
+// When the store is unavailable, the newest copy stays in use and its age is reported. An older
+// response never replaces a newer copy.
 package catalog
--- a/pkg/catalog/entrylog.go
+++ b/pkg/catalog/entrylog.go
@@ -6,11 +6,11 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// maxFaultLines bounds the lines about entries that can't be used for one news of the list;
-// whoever writes them may write hundreds a second.
+// maxFaultLines bounds the log lines about unusable entries for one update of the list, as a faulty
+// writer may write hundreds of entries a second.
 const maxFaultLines = 10
 
-// logChanges writes a line for each change of the list.
+// logChanges logs each change of the list.
 func (c *Catalog) logChanges(changes []upstream.Change, rev Revision, source string) {
 	var unusable []upstream.Instance
 	for _, ch := range changes {
@@ -28,7 +28,7 @@
 	c.logUnusable(unusable, rev, source)
 }
 
-// logUnusable tells of entries that newly name no instance to use.
+// logUnusable logs and counts entries that became unusable.
 func (c *Catalog) logUnusable(list []upstream.Instance, rev Revision, source string) {
 	c.faults += int64(len(list))
 	for i, in := range list {
@@ -36,15 +36,15 @@
 		if i == maxFaultLines {
 			fields["more"] = len(list) - i - 1
 		}
-		c.log.WithFields(fields).Warn("entry names no instance to use")
+		c.log.WithFields(fields).Warn("list entry does not describe a usable instance")
 		if i == maxFaultLines {
 			return
 		}
 	}
 }
 
-// differences gives what a whole list tells that wasn't known; of the first one only the entries
-// that can't be used, as nothing was known before it.
+// differences returns the changes between old and a whole new list. For the first list it returns
+// only the unusable entries, as nothing was known before.
 func differences(old, next *upstream.Set, first bool) []upstream.Change {
 	var all []upstream.Change
 	for _, in := range next.List() {
@@ -57,30 +57,30 @@
 			all = append(all, upstream.Change{Instance: upstream.Instance{ID: in.ID}, Gone: true})
 		}
 	}
-	return news(old, all)
+	return significantChanges(old, all)
 }
 
-// Faults is how often an entry of the list changed to one that can't be used.
+// Faults returns how often an entry of the list became unusable.
 func (c *Catalog) Faults() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faults
 }
 
-// news gives the changes that differ from old in more than the time left of a warm-up, which
-// passes with each heartbeat.
-func news(old *upstream.Set, changes []upstream.Change) []upstream.Change {
-	var fresh []upstream.Change
+// significantChanges returns the changes that differ from old in more than the time left of a
+// warm-up, which changes with each heartbeat.
+func significantChanges(old *upstream.Set, changes []upstream.Change) []upstream.Change {
+	var significant []upstream.Change
 	for _, ch := range changes {
 		before := old.Get(ch.Instance.ID)
-		if ch.Gone && before != nil || !ch.Gone && (before == nil || !sameButWarmup(*before, ch.Instance)) {
-			fresh = append(fresh, ch)
+		if ch.Gone && before != nil || !ch.Gone && (before == nil || !equalExceptWarmup(*before, ch.Instance)) {
+			significant = append(significant, ch)
 		}
 	}
-	return fresh
+	return significant
 }
 
-func sameButWarmup(a, b upstream.Instance) bool {
+func equalExceptWarmup(a, b upstream.Instance) bool {
 	a.WarmupTold, a.WarmupLeft = b.WarmupTold, b.WarmupLeft
 	return a == b
 }
--- a/pkg/catalog/entrylog_test.go
+++ b/pkg/catalog/entrylog_test.go
@@ -18,19 +18,19 @@
 // Another writer replaces an upstream's entry with one that can't be used while the entries of
 // others lapse with the store. Held back like a lapsed one, the replaced entry would stay in
 // use for the grace.
-func TestUnusableEntriesAreNotHeldBackAsLapsed(t *testing.T) {
+func TestUnusableEntriesAreNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		c := New(l)
 		c.Replace([]upstream.Instance{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}}, 1, time.Now(), "store")
-		time.Sleep(outage + time.Second)
+		time.Sleep(minOutage + time.Second)
 		c.Replace([]upstream.Instance{unusable("a", "no service"), {ID: "c", Service: "s"}}, 5, time.Now(), "store")
 		require.Equal(t, upstream.Unusable, c.Instances().Get("a").State)
 		require.NotNil(t, c.Instances().Get("b"), "it lapsed")
 		c.Apply([]upstream.Change{{Instance: unusable("c", "no address")}}, 5, 6, time.Now(), "store")
 		require.Equal(t, upstream.Unusable, c.Instances().Get("c").State)
 		require.Len(t, c.Instances().Of("s"), 1)
-		answering(lapseGrace+time.Second, c)
+		keepContact(gracePeriod+time.Second, c)
 		require.Nil(t, c.Instances().Get("b"))
 		require.NotNil(t, c.Instances().Get("c"))
 	})
@@ -38,8 +38,8 @@
 
 // Somebody writes a hundred entries that can't be used, and writes them again and again. The
 // log says what is wrong once for each change, and never fills with it.
-func TestUnusableEntriesAreToldOnceAndInBounds(t *testing.T) {
-	l, h := quiet()
+func TestUnusableEntriesAreLoggedOnceAndBounded(t *testing.T) {
+	l, h := newTestLogger()
 	c := New(l)
 	c.Replace([]upstream.Instance{{ID: "a"}, unusable("b", "x")}, 1, time.Now(), "store")
 	require.Equal(t, 1, h.count("instance_unusable"))
@@ -62,9 +62,9 @@
 
 // Whoever breaks off an old life's attempts must know until when the old one was surely
 // listed: what was begun later may be at the new one.
-func TestFollowersLearnUntilWhenTheOldListHeld(t *testing.T) {
+func TestListCallbackReceivesWhenThePreviousListWasCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		c := New(l)
 		var set *upstream.Set
 		var known time.Time
@@ -83,7 +83,7 @@
 
 // Guards against departures that a router learns from a peer's whole list and that its log never names.
 func TestDeparturesInWholeListsAreLogged(t *testing.T) {
-	l, h := quiet()
+	l, h := newTestLogger()
 	c := New(l)
 	c.Replace([]upstream.Instance{{ID: "a", State: upstream.Ready}, {ID: "b", State: upstream.Ready}, {ID: "c"}}, 1, time.Now(), "store")
 	require.Zero(t, h.count("instance_changed"), "nothing was known before")
--- a/pkg/catalog/evacuations.go
+++ b/pkg/catalog/evacuations.go
@@ -10,14 +10,14 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Evacuations are the availability zones whose upstreams are given nothing, exactly as they
-// were at a revision of the store.
+// Evacuations are the availability zones whose upstreams get no requests, exactly as of a revision
+// of the store.
 type Evacuations struct {
-	Zones    []string // in order
-	Revision Revision // 0 while nothing is known
+	Zones    []string // sorted
+	Revision Revision // 0 until the first read
 }
 
-// Evacuated reports whether the upstreams of a zone are to be given nothing.
+// Evacuated reports whether a zone is evacuated.
 func (c *Catalog) Evacuated(zone string) bool {
 	e := c.evacuations.Load()
 	if e == nil {
@@ -27,7 +27,7 @@
 	return found
 }
 
-// Evacuations gives the evacuated zones. The list must not be changed.
+// Evacuations returns the evacuated zones. The list must not be changed.
 func (c *Catalog) Evacuations() Evacuations {
 	if e := c.evacuations.Load(); e != nil {
 		return *e
@@ -35,18 +35,19 @@
 	return Evacuations{}
 }
 
-// Evacuate takes all evacuated zones as of a revision. Older news than what is known changes
-// nothing: each state is exact, so the one of the later revision holds.
+// Evacuate sets all evacuated zones as of a revision. A revision that is not newer than the known
+// one is ignored.
 func (c *Catalog) Evacuate(zones []string, rev Revision, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if rev <= c.Evacuations().Revision {
 		return
 	}
-	c.putEvacuations(zones, rev, source)
+	c.setEvacuations(zones, rev, source)
 }
 
-// ChangeZones takes the changes that lead from after to rev; others are passed over.
+// ChangeZones applies the changes between the revisions after and rev. Changes that do not continue
+// the known state are ignored.
 func (c *Catalog) ChangeZones(changes []ZoneChange, after, rev Revision, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,15 +66,15 @@
 			zones[ch.Zone] = true
 		}
 	}
-	c.putEvacuations(slices.Collect(maps.Keys(zones)), rev, source)
+	c.setEvacuations(slices.Collect(maps.Keys(zones)), rev, source)
 }
 
-// putEvacuations puts a state in force.
-func (c *Catalog) putEvacuations(zones []string, rev Revision, source string) {
+// setEvacuations publishes the evacuated zones, and logs and reports what changed.
+func (c *Catalog) setEvacuations(zones []string, rev Revision, source string) {
 	known := c.Evacuations()
 	zones = slices.Compact(slices.Sorted(slices.Values(zones)))
 	c.evacuations.Store(&Evacuations{Zones: zones, Revision: rev})
-	added, restored := without(zones, known.Zones), without(known.Zones, zones)
+	added, restored := subtract(zones, known.Zones), subtract(known.Zones, zones)
 	if len(added)+len(restored) == 0 {
 		return
 	}
@@ -88,19 +89,19 @@
 	if len(restored) > 0 {
 		now := time.Now()
 		for _, zone := range restored {
-			c.remember(Restoration{Zone: zone, At: now, Revision: rev})
+			c.addRestoration(Restoration{Zone: zone, At: now, Revision: rev})
 		}
-		c.restored(restored, now)
+		c.onRestored(restored, now)
 	}
 }
 
-// without gives what a has and b lacks.
-func without(a, b []string) []string {
+// subtract returns the elements of a that b lacks.
+func subtract(a, b []string) []string {
 	return slices.DeleteFunc(slices.Clone(a), func(s string) bool { return slices.Contains(b, s) })
 }
 
-// zonesOf gives the evacuated zones that a whole read tells of.
-func zonesOf(changes []ZoneChange) []string {
+// evacuatedZones returns the evacuated zones of a complete read.
+func evacuatedZones(changes []ZoneChange) []string {
 	zones := make([]string, 0, len(changes))
 	for _, ch := range changes {
 		if !ch.Restored {
@@ -110,12 +111,13 @@
 	return zones
 }
 
-// Placeable reports whether an instance may be given work by what the store tells.
+// Placeable reports whether an instance may be given work according to the store.
 func (c *Catalog) Placeable(in *upstream.Instance) bool {
 	return in.State == upstream.Ready && !c.Evacuated(in.Zone)
 }
 
-// StillPlaceable reports the same of an instance that was listed when it was chosen.
+// StillPlaceable reports whether an instance that was chosen from an earlier list may still be
+// given work.
 func (c *Catalog) StillPlaceable(in *upstream.Instance) bool {
 	now := c.Instances().Get(in.ID)
 	return now != nil && now.Life() == in.Life() && c.Placeable(now)
--- a/pkg/catalog/evacuations_test.go
+++ b/pkg/catalog/evacuations_test.go
@@ -15,22 +15,22 @@
 
 // Guards against a zone that is forgotten to be evacuated while the store is away, and against
 // one that stays evacuated after it was restored.
-func TestEvacuationsHoldUntilTheyAreTakenBack(t *testing.T) {
+func TestEvacuationsHoldUntilRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, evacuated: map[string]bool{"a": true},
 			instances: []upstream.Instance{{ID: "i", Zone: "a", State: upstream.Ready}}}
-		c, h := start(t, s)
+		c, h := startWatcher(t, s)
 		time.Sleep(time.Second)
 		require.True(t, c.Evacuated("a"))
 		require.False(t, c.Placeable(c.Instances().Get("i")))
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(20 * time.Second)
 		require.True(t, c.Evacuated("a"))
-		s.set(func() { s.down, s.rev, s.evacuated = false, 5, map[string]bool{"b": true} })
+		s.update(func() { s.down, s.rev, s.evacuated = false, 5, map[string]bool{"b": true} })
 		time.Sleep(5 * time.Second)
 		require.False(t, c.Evacuated("a"), "taken back while the store was away")
 		require.True(t, c.Evacuated("b"))
-		s.set(func() { s.rev, s.zoneChanges = 6, []ZoneChange{{Zone: "b", Restored: true}, {Zone: "nobody's"}} })
+		s.update(func() { s.rev, s.zoneChanges = 6, []ZoneChange{{Zone: "b", Restored: true}, {Zone: "nobody's"}} })
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"nobody's"}, c.Evacuations().Zones)
 		require.True(t, c.Placeable(c.Instances().Get("i")))
@@ -54,7 +54,7 @@
 			slices.Sort(next)
 			history, steps = append(history, next), append(steps, ch)
 		}
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		c := New(l)
 		var restored []string
 		c.FollowRestored(func(zones []string, _ time.Time) { restored = append(restored, zones...) })
--- a/pkg/catalog/fake_test.go
+++ b/pkg/catalog/fake_test.go
@@ -21,8 +21,8 @@
 type fakeStore struct {
 	mu   sync.Mutex
 	down bool
-	// forgotten is the revision up to which changes can't be told.
-	forgotten Revision
+	// compacted is the revision up to which changes can't be told.
+	compacted Revision
 	config    *routing.Config
 	// evacuated are the zones that a read tells of, zoneChanges what a watch does.
 	evacuated   map[string]bool
@@ -30,50 +30,50 @@
 	instances   []upstream.Instance
 	changes     []upstream.Change
 	rev         Revision
-	// follower makes the router leave the reading to others; asked counts its questions.
-	follower bool
-	// patient makes questions without news wait as long as they may.
-	patient bool
-	// many makes it read for many.
-	many  bool
-	asked int
-	// callers is how many routers share the store; refused counts the calls that failed.
-	callers int
-	refused int
-	// askedConfig counts questions for newer configurations.
-	askedConfig int
+	// following makes the router leave the reading to others; asked counts its questions.
+	following bool
+	// longPoll makes questions without news wait as long as they may.
+	longPoll bool
+	// manyFollowers makes it read for manyFollowers.
+	manyFollowers bool
+	listRequests  int
+	// storeCallers is how many routers share the store; refused counts the calls that failed.
+	storeCallers int
+	failedCalls  int
+	// configRequests counts questions for newer configurations.
+	configRequests int
 	// readsConfig makes a follower wait for configurations itself.
 	readsConfig bool
 	// configDown makes questions for the configuration fail, and those alone.
 	configDown bool
-	// hearFirst is how long the router leaves the store to others as it starts.
-	hearFirst time.Duration
-	// mute leaves calls that come without an answer for good, as a connection that died in
+	// peerWait is how long the router leaves the store to others as it starts.
+	peerWait time.Duration
+	// unresponsive leaves calls that come without an answer for good, as a connection that died in
 	// silence does.
-	mute bool
-	// standstill is how long the process stands still between the next answer and its reading.
-	standstill time.Duration
-	// prompt makes a patient question end with the first news.
-	prompt bool
-	// silenced is when the kept connection went silent; zero while it answers.
-	silenced time.Time
+	unresponsive bool
+	// processPause is how long the process stands still between the next answer and its reading.
+	processPause time.Duration
+	// endWaitOnChange makes a patient question end with the first news.
+	endWaitOnChange bool
+	// connectionSilentSince is when the kept connection went silent; zero while it answers.
+	connectionSilentSince time.Time
 }
 
-// onSilent reports whether a question is on the connection that went silent. The one after it has a new connection.
-func (s *fakeStore) onSilent() bool {
+// takeSilentConnection reports whether a question is on the connection that went silent. The one after it has a new connection.
+func (s *fakeStore) takeSilentConnection() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	silent := !s.silenced.IsZero()
-	s.silenced = time.Time{}
+	silent := !s.connectionSilentSince.IsZero()
+	s.connectionSilentSince = time.Time{}
 	return silent
 }
 
-// waitForNews waits until there is something newer than after, for wait at most.
-func (s *fakeStore) waitForNews(ctx context.Context, after Revision, wait time.Duration) {
+// waitForChange waits until there is something newer than after, for wait at most.
+func (s *fakeStore) waitForChange(ctx context.Context, after Revision, wait time.Duration) {
 	const look = 10 * time.Millisecond
 	for begun := time.Now(); time.Since(begun) < wait && ctx.Err() == nil; waiting.For(ctx, look) {
 		s.mu.Lock()
-		news := s.prompt && (after < s.rev || !s.silenced.IsZero())
+		news := s.endWaitOnChange && (after < s.rev || !s.connectionSilentSince.IsZero())
 		s.mu.Unlock()
 		if news {
 			return
@@ -81,9 +81,9 @@
 	}
 }
 
-func (s *fakeStore) answers(ctx context.Context) error {
+func (s *fakeStore) waitIfUnresponsive(ctx context.Context) error {
 	s.mu.Lock()
-	mute := s.mute
+	mute := s.unresponsive
 	s.mu.Unlock()
 	if !mute {
 		return nil
@@ -96,34 +96,34 @@
 func (s *fakeStore) ReadsInstances() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.follower
+	return !s.following
 }
 
 func (s *fakeStore) ReadsConfig() bool { return s.readsConfig || s.ReadsInstances() }
 
 func (s *fakeStore) Turn() time.Duration { return 0 }
 
-func (s *fakeStore) HearsFirst(waited time.Duration) bool { return waited < s.hearFirst }
+func (s *fakeStore) HearsFirst(waited time.Duration) bool { return waited < s.peerWait }
 
-func (s *fakeStore) Callers() int { return max(1, s.callers) }
+func (s *fakeStore) Callers() int { return max(1, s.storeCallers) }
 
 func (s *fakeStore) TellsMany() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.many
+	return s.manyFollowers
 }
 
-func (s *fakeStore) set(change func()) {
+func (s *fakeStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// failed is how many calls failed since the store was last set down.
-func (s *fakeStore) failed() int {
+// countFailedCalls is how many calls countFailedCalls since the store was last set down.
+func (s *fakeStore) countFailedCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused
+	return s.failedCalls
 }
 
 var errDown = errors.New("down")
@@ -132,7 +132,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down || s.configDown {
-		s.refused++
+		s.failedCalls++
 		return Declared{}, 0, errDown
 	}
 	var zones []ZoneChange
@@ -143,20 +143,20 @@
 }
 
 func (s *fakeStore) DeclaredAfter(ctx context.Context, after Revision, wait time.Duration) (Declared, Revision, error) {
-	if err := s.answers(ctx); err != nil {
+	if err := s.waitIfUnresponsive(ctx); err != nil {
 		return Declared{}, 0, err
 	}
 	waiting.For(ctx, min(wait, 100*time.Millisecond))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.configDown {
-		s.refused++
+		s.failedCalls++
 		return Declared{}, 0, errDown
 	}
-	if err := s.refusal(ctx, after); err != nil {
+	if err := s.callError(ctx, after); err != nil {
 		return Declared{}, 0, err
 	}
-	s.askedConfig++
+	s.configRequests++
 	if after < s.rev {
 		return Declared{Config: s.config, Zones: s.zoneChanges}, s.rev, nil
 	}
@@ -167,39 +167,39 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		s.refused++
+		s.failedCalls++
 		return nil, Stamp{}, errDown
 	}
 	return s.instances, s.stamp(), nil
 }
 
 func (s *fakeStore) InstancesAfter(ctx context.Context, after Revision, wait time.Duration) ([]upstream.Change, Stamp, error) {
-	if err := s.answers(ctx); err != nil {
+	if err := s.waitIfUnresponsive(ctx); err != nil {
 		return nil, Stamp{}, err
 	}
 	s.mu.Lock()
-	if !s.patient {
+	if !s.longPoll {
 		wait = min(wait, 100*time.Millisecond)
 	}
 	s.mu.Unlock()
-	if s.prompt {
-		s.waitForNews(ctx, after, wait)
+	if s.endWaitOnChange {
+		s.waitForChange(ctx, after, wait)
 	} else {
 		waiting.For(ctx, wait)
 	}
-	if s.onSilent() {
+	if s.takeSilentConnection() {
 		<-ctx.Done()
 		return nil, Stamp{}, ctx.Err()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.refusal(ctx, after); err != nil {
+	if err := s.callError(ctx, after); err != nil {
 		return nil, Stamp{}, err
 	}
-	s.asked++
-	if s.standstill > 0 {
-		stamp, pause := s.stamp(), s.standstill
-		s.standstill = 0
+	s.listRequests++
+	if s.processPause > 0 {
+		stamp, pause := s.stamp(), s.processPause
+		s.processPause = 0
 		s.mu.Unlock()
 		time.Sleep(pause) // nothing in the process runs
 		s.mu.Lock()
@@ -211,25 +211,25 @@
 	return nil, s.stamp(), nil
 }
 
-func (s *fakeStore) refusal(ctx context.Context, after Revision) error {
+func (s *fakeStore) callError(ctx context.Context, after Revision) error {
 	if s.down {
-		s.refused++
+		s.failedCalls++
 		return errDown
 	}
-	if after < s.forgotten {
+	if after < s.compacted {
 		return ErrHistoryGone
 	}
 	return ctx.Err()
 }
 
-// recorder counts log lines by their event.
-type recorder struct {
+// eventCounter counts log lines by their event.
+type eventCounter struct {
 	mu     sync.Mutex
 	events map[string]int
 }
 
 // HandleLog counts e.
-func (r *recorder) HandleLog(e *log.Entry) error {
+func (r *eventCounter) HandleLog(e *log.Entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, _ := e.Fields["event"].(string)
@@ -237,19 +237,19 @@
 	return nil
 }
 
-func (r *recorder) count(name string) int {
+func (r *eventCounter) count(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events[name]
 }
 
-func quiet() (*log.Logger, *recorder) {
-	h := &recorder{events: make(map[string]int)}
+func newTestLogger() (*log.Logger, *eventCounter) {
+	h := &eventCounter{events: make(map[string]int)}
 	return &log.Logger{Handler: h, Level: log.InfoLevel}, h
 }
 
-func start(t *testing.T, s *fakeStore) (*Catalog, *recorder) {
-	l, h := quiet()
+func startWatcher(t *testing.T, s *fakeStore) (*Catalog, *eventCounter) {
+	l, h := newTestLogger()
 	c := New(l)
 	w := NewWatcher(c, s, s, l)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -266,8 +266,8 @@
 	return Stamp{Revision: s.rev, Clock: time.Since(fakeClockStart)}
 }
 
-// answering has the store answer routers for a while, with nothing new.
-func answering(lasts time.Duration, routers ...*Catalog) {
+// keepContact has the store answer routers for a while, with nothing new.
+func keepContact(lasts time.Duration, routers ...*Catalog) {
 	const pause = 500 * time.Millisecond
 	for end := time.Now().Add(lasts); ; time.Sleep(pause) {
 		for _, c := range routers {
--- a/pkg/catalog/follower_test.go
+++ b/pkg/catalog/follower_test.go
@@ -15,26 +15,26 @@
 // fails its calls. Without a pause between them it made thousands.
 func TestFailedCallsForConfigurationsPauseThoughTheListIsCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, callers: 17, follower: true, readsConfig: true,
+		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, storeCallers: 17, following: true, readsConfig: true,
 			instances: []upstream.Instance{{ID: "i", Service: "s", State: upstream.Ready}}}
-		c, _ := start(t, s)
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.configDown, s.refused = true, 0 })
+		s.update(func() { s.configDown, s.failedCalls = true, 0 })
 		for range 50 {
 			c.Confirm(c.InstancesRevision(), time.Now())
 			time.Sleep(100 * time.Millisecond)
 		}
-		require.Less(t, s.failed(), 50)
+		require.Less(t, s.countFailedCalls(), 50)
 	})
 }
 
 // A router that starts in a large fleet leaves the store to others, and asks it itself when
 // nobody tells it in time.
-func TestAFreshRouterHearsOfOthersFirst(t *testing.T) {
+func TestAStartingRouterWaitsForItsPeersFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, follower: true, hearFirst: time.Second,
+		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, following: true, peerWait: time.Second,
 			instances: []upstream.Instance{{ID: "i", Service: "s", State: upstream.Ready}}}
-		c, _ := start(t, s)
+		c, _ := startWatcher(t, s)
 		time.Sleep(900 * time.Millisecond)
 		require.Zero(t, c.Version())
 		time.Sleep(200 * time.Millisecond)
--- a/pkg/catalog/grace.go
+++ b/pkg/catalog/grace.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// Vouch takes when the store was heard, by this router or another one.
+// Vouch merges a contact with the store, of this router or another one.
 func (c *Catalog) Vouch(o Contact) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.vouch(o)
+	c.mergeContact(o)
 }
 
-// Contact is when the store was heard, as far as this router knows.
+// Contact returns the contact with the store as far as this router knows.
 func (c *Catalog) Contact() Contact {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.contact
 }
 
-// GraceEnd is when the store is to be asked what is still missing; false while nothing is kept.
+// GraceEnd returns when the store is to be asked for the instances that are still missing; false
+// while no instance is held.
 func (c *Catalog) GraceEnd() (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lapsed.until, c.lapsed.open && len(c.lapsed.ids) > 0
+	return c.held.graceEnd, c.held.active && len(c.held.ids) > 0
 }
 
-// hear notes that the store answered at asOf, before its news are taken. A grace begins when the
-// store may have been away since the list was last current.
-func (c *Catalog) hear(asOf time.Time) {
-	c.vouch(Contact{Since: asOf, Until: asOf})
-	if c.revision > 0 && !c.contact.covers(c.heard) {
-		c.lapsed.begin(c.set.Load(), c.heard)
-		c.lapsed.observe(c.contact)
+// noteContact records that the store responded at asOf, before the response is applied. It starts a
+// grace period if the store may have been unavailable since the list was last current.
+func (c *Catalog) noteContact(asOf time.Time) {
+	c.mergeContact(Contact{Since: asOf, Until: asOf})
+	if c.revision > 0 && !c.contact.covers(c.currentAt) {
+		c.held.begin(c.set.Load(), c.currentAt)
+		c.held.observeContact(c.contact)
 	}
 }
 
-// vouch joins o to what is known of the store's contact.
+// mergeContact merges o into the known contact with the store.
 //
-// Guard: what is missing after a silence that was this router's own has left. A router that the
-// store served all the while knows.
-func (c *Catalog) vouch(o Contact) {
-	c.contact = c.contact.join(o)
-	if c.lapsed.open {
-		c.lapsed.observe(c.contact)
-		c.settle()
+// An instance that is missing after an interruption that affected only this router has left.
+// Routers that stayed in contact with the store know that it was available.
+func (c *Catalog) mergeContact(o Contact) {
+	c.contact = c.contact.merge(o)
+	if c.held.active {
+		c.held.observeContact(c.contact)
+		c.removeExpired()
 	}
 }
 
-// settle takes instances that stay missing off the list.
-func (c *Catalog) settle() {
-	gone := c.lapsed.settle()
+// removeExpired removes held instances that are still missing when the grace period is over.
+func (c *Catalog) removeExpired() {
+	gone := c.held.release()
 	if len(gone) == 0 {
 		return
 	}
 	next, _ := c.set.Load().Apply(gone)
-	c.changed = c.revision
-	c.put(next, c.heard)
+	c.listSince = c.revision
+	c.setInstances(next, c.currentAt)
 	c.logChanges(gone, c.revision, "grace after an outage")
 }
--- a/pkg/catalog/lapsed_test.go
+++ b/pkg/catalog/held_test.go
@@ -15,30 +15,30 @@
 // The store is away so long that the entries of all upstreams lapse; they are alive, and
 // write themselves in again within two seconds. Taken for gone, they would leave every
 // request without an upstream until then. One that stays away is gone.
-func TestCatalogKeepsInstancesThatLapsedWithTheStore(t *testing.T) {
+func TestInstancesThatExpiredInAnOutageAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}, {ID: "b"}}, rev: 5}
-		c, _ := start(t, s)
+		c, _ := startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(10 * time.Second)
-		s.set(func() { s.down, s.forgotten, s.instances, s.rev = false, 20, nil, 20 })
+		s.update(func() { s.down, s.compacted, s.instances, s.rev = false, 20, nil, 20 })
 		time.Sleep(time.Second)
 		require.NotNil(t, c.Instances().Get("a"))
-		s.set(func() { s.changes, s.rev = []upstream.Change{{Instance: upstream.Instance{ID: "b"}}}, 21 })
+		s.update(func() { s.changes, s.rev = []upstream.Change{{Instance: upstream.Instance{ID: "b"}}}, 21 })
 		time.Sleep(2 * time.Second)
 		require.Nil(t, c.Instances().Get("a"))
 		require.NotNil(t, c.Instances().Get("b"))
 	})
 }
 
-// afterASilence gives a router that was away and then read a list without the first instance, and
+// afterInterruption gives a router that was away and then read a list without the first instance, and
 // one that has known all the while that the list was current.
-func afterASilence(l log.Interface, all []upstream.Instance) (away, current *Catalog) {
+func afterInterruption(l log.Interface, all []upstream.Instance) (away, current *Catalog) {
 	away, current = New(l), New(l)
 	away.Replace(all, 1, time.Now(), "store")
 	current.Replace(all, 1, time.Now(), "store")
-	for began := time.Now(); time.Since(began) <= outage; {
+	for began := time.Now(); time.Since(began) <= minOutage; {
 		time.Sleep(time.Second)
 		current.Confirm(1, time.Now())
 	}
@@ -49,23 +49,23 @@
 // A router comes back after an outage and keeps, for the grace, instances that are missing
 // from the store's list; one of them has left for good. Told to another router as the
 // list at that revision, it would stay there for ever: no later change takes it away.
-func TestListsForOthersHoldNoLapsedInstances(t *testing.T) {
+func TestListsForPeersOmitHeldInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		both := []upstream.Instance{{ID: "gone"}, {ID: "stays"}}
-		a, b := afterASilence(l, both)
+		a, b := afterInterruption(l, both)
 		require.NotNil(t, a.Instances().Get("gone"), "it may have lapsed with the store")
 
 		list, rev, _ := a.List()
 		b.Replace(list.List(), rev, time.Now(), "peer")
 		require.Nil(t, b.Instances().Get("gone"), "b has known that the store was there")
-		answering(lapseGrace+time.Second, a, b)
+		keepContact(gracePeriod+time.Second, a, b)
 		require.Nil(t, a.Instances().Get("gone"))
 		require.Nil(t, b.Instances().Get("gone"))
 
 		c := New(l)
 		c.Replace(both, 1, time.Now(), "store")
-		time.Sleep(outage + time.Second)
+		time.Sleep(minOutage + time.Second)
 		c.Replace(both[1:], 5, time.Now(), "peer")
 		require.NotNil(t, c.Instances().Get("gone"), "whoever tells c: it was without the store itself")
 	})
@@ -73,13 +73,13 @@
 
 // The same, with the removal told by the feed within the grace: a router that asks what is
 // new since before must not be told that nothing is.
-func TestHeldBackRemovalsAreNewsForOthers(t *testing.T) {
+func TestHeldRemovalsChangeTheListForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		a := New(l)
 		both := []upstream.Instance{{ID: "gone"}, {ID: "stays"}}
 		a.Replace(both, 1, time.Now(), "store")
-		time.Sleep(outage + time.Second)
+		time.Sleep(minOutage + time.Second)
 		a.Replace(both, 5, time.Now(), "store")
 		a.Apply([]upstream.Change{{Instance: upstream.Instance{ID: "gone"}, Gone: true}}, 5, 6, time.Now(), "store")
 		require.NotNil(t, a.Instances().Get("gone"))
@@ -91,11 +91,11 @@
 }
 
 // Guards against followers that never hear of an instance which was held here and is back unchanged.
-func TestInstancesThatAreBackAreNewsForOthers(t *testing.T) {
+func TestReappearedInstancesChangeTheListForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, _ := quiet()
+		l, _ := newTestLogger()
 		both := []upstream.Instance{{ID: "back"}, {ID: "stays"}}
-		a, b := afterASilence(l, both)
+		a, b := afterInterruption(l, both)
 		told, rev, _ := a.List()
 		b.Replace(told.List(), rev, time.Now(), "peer")
 		require.Nil(t, b.Instances().Get("back"))
--- a/pkg/catalog/outage_test.go
+++ b/pkg/catalog/outage_test.go
@@ -14,21 +14,21 @@
 // The store of a fleet of 63 routers is busy for eight seconds and turns all calls away. Each
 // router's list grows old, and each asks five times a second for the list and as often for the
 // configuration: over 5,000 calls in those seconds, all of them paid for, 0.12 of a day's worth.
-func TestABusyStoreIsAskedLittle(t *testing.T) {
+func TestAnOverloadedStoreReceivesFewCalls(t *testing.T) {
 	const routers, busyFor = 63, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, follower: true, callers: routers,
+		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, following: true, storeCallers: routers,
 			instances: []upstream.Instance{{ID: "i", Service: "s", State: upstream.Ready}}}
 		var catalogs []*Catalog
 		for range routers {
-			c, _ := start(t, s)
+			c, _ := startWatcher(t, s)
 			catalogs = append(catalogs, c)
 		}
 		time.Sleep(2 * time.Second)
-		s.set(func() { s.down, s.refused = true, 0 })
+		s.update(func() { s.down, s.failedCalls = true, 0 })
 		time.Sleep(busyFor)
-		require.Less(t, s.failed(), 10*routers, "calls of all routers while the store was busy")
-		s.set(func() {
+		require.Less(t, s.countFailedCalls(), 10*routers, "calls of all routers while the store was busy")
+		s.update(func() {
 			s.down, s.rev = false, 2
 			s.changes = []upstream.Change{{Instance: upstream.Instance{ID: "i", Service: "s", State: upstream.Draining}}}
 			s.instances = []upstream.Instance{{ID: "i", Service: "s", State: upstream.Draining}}
@@ -42,13 +42,13 @@
 
 // A router that reads for the others asks at the shortest pause: all of them hear of the
 // store's return from it.
-func TestReadersAskABusyStoreOften(t *testing.T) {
+func TestReadersRetryAnOverloadedStoreOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, callers: 63}
-		start(t, s)
+		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, storeCallers: 63}
+		startWatcher(t, s)
 		time.Sleep(time.Second)
-		s.set(func() { s.down, s.refused = true, 0 })
+		s.update(func() { s.down, s.failedCalls = true, 0 })
 		time.Sleep(4 * time.Second)
-		require.Greater(t, s.failed(), 15)
+		require.Greater(t, s.countFailedCalls(), 15)
 	})
 }
--- a/pkg/catalog/returned_test.go
+++ b/pkg/catalog/reappeared_test.go
@@ -18,7 +18,7 @@
 //
 //	14.7524 a-2 instance_changed gone=true revision=56 source="grace after an outage"
 //	27.6249 a-1 instances_read instances=17 revision=60 (a-2 has 15 at revision 60)
-func TestAnUpstreamThatIsBackAsTheGraceEndsStays(t *testing.T) {
+func TestAnUpstreamThatReappearsAsTheGracePeriodEndsStays(t *testing.T) {
 	one := upstream.Instance{ID: "one", Service: "s", State: upstream.Ready}
 	for name, comes := range map[string]func(*Catalog){
 		"as a change":       func(c *Catalog) { c.Apply([]upstream.Change{{Instance: one}}, 2, 3, time.Now(), "store") },
@@ -29,15 +29,15 @@
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l, _ := quiet()
+			l, _ := newTestLogger()
 			c := New(l)
 			c.Replace([]upstream.Instance{one}, 1, time.Now(), "store")
-			time.Sleep(2 * outage)
+			time.Sleep(2 * minOutage)
 			c.Replace(nil, 2, time.Now(), "store")
 			require.NotNil(t, c.Instances().Get("one"), "kept for the grace")
-			time.Sleep(lapseGrace)
+			time.Sleep(gracePeriod)
 			comes(c)
-			answering(0, c)
+			keepContact(0, c)
 			require.NotNil(t, c.Instances().Get("one"), name)
 			set, _, _ := c.List()
 			require.NotNil(t, set.Get("one"), "others are told of it, %s", name)
--- a/pkg/catalog/restorations.go
+++ b/pkg/catalog/restorations.go
@@ -7,35 +7,34 @@
 	"github.com/apex/log"
 )
 
-// restorationMemory is how long a restoration is kept and told: longer than upstreams take to warm
-// up.
-const restorationMemory = time.Minute
+// restorationRetention is how long a restoration is kept and passed on: longer than upstreams take
+// to warm up.
+const restorationRetention = time.Minute
 
 // Restoration is the end of a zone's evacuation.
 type Restoration struct {
 	Zone string
-	// At is when it was heard of first, Revision the revision of the store that told it.
+	// At is when a router first learned of it, Revision the revision of the store that reported it.
 	At       time.Time
 	Revision Revision
 }
 
-// FollowRestored makes f take the zones that are no longer evacuated, as soon as that is known, and
-// since when they aren't. It must be called before the first declaration comes; f must not call the
-// catalog.
-func (c *Catalog) FollowRestored(f func(zones []string, at time.Time)) { c.restored = f }
+// FollowRestored makes f receive zones that are no longer evacuated as soon as that is known, and
+// since when. It must be called before the first declaration arrives; f must not call the catalog.
+func (c *Catalog) FollowRestored(f func(zones []string, at time.Time)) { c.onRestored = f }
 
-// Restorations gives those of the last minute.
+// Restorations returns the restorations of the last minute.
 func (c *Catalog) Restorations(now time.Time) []Restoration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.restorations = slices.DeleteFunc(c.restorations, func(r Restoration) bool { return now.Sub(r.At) >= restorationMemory })
+	c.restorations = slices.DeleteFunc(c.restorations, func(r Restoration) bool { return now.Sub(r.At) >= restorationRetention })
 	return slices.Clone(c.restorations)
 }
 
-// HearRestored takes restorations that others know of. Those that this router knows, and older ones
-// of the same zone, change nothing.
+// HearRestored merges restorations that other routers know of. Known ones, and older ones of the
+// same zone, are ignored.
 //
-// Guard: a router that starts just after a zone was restored hears nothing of its evacuation. The
+// A router that starts just after a zone was restored never learns that the zone was evacuated. The
 // zone's upstreams may still be listed as warm.
 func (c *Catalog) HearRestored(list []Restoration, source string) {
 	c.mu.Lock()
@@ -44,20 +43,21 @@
 		if now := time.Now(); r.At.After(now) {
 			r.At = now
 		}
-		if !c.remember(r) {
+		if !c.addRestoration(r) {
 			continue
 		}
 		c.log.WithFields(log.Fields{"event": "zone_restored", "zone": r.Zone, "revision": r.Revision, "source": source,
-			"age_ms": time.Since(r.At).Milliseconds()}).Info("a zone was restored before this router could hear of it")
-		c.restored([]string{r.Zone}, r.At)
+			"age_ms": time.Since(r.At).Milliseconds()}).Info("zone restored before this router knew that it was evacuated")
+		c.onRestored([]string{r.Zone}, r.At)
 	}
 }
 
-// remember keeps a restoration, and reports whether it is news.
-func (c *Catalog) remember(r Restoration) bool {
+// addRestoration stores a restoration, and reports whether it is recent and newer than the known
+// one of its zone.
+func (c *Catalog) addRestoration(r Restoration) bool {
 	at := slices.IndexFunc(c.restorations, func(known Restoration) bool { return known.Zone == r.Zone })
 	switch {
-	case time.Since(r.At) >= restorationMemory:
+	case time.Since(r.At) >= restorationRetention:
 		return false
 	case at < 0:
 		c.restorations = append(c.restorations, r)
--- a/pkg/catalog/restorations_test.go
+++ b/pkg/catalog/restorations_test.go
@@ -12,11 +12,11 @@
 
 // Guards against a fleet that starts anew just after a zone was restored, so that nobody can tell
 // of it.
-func TestTheHistoryTellsOfZonesThatWereRestoredBeforeTheStart(t *testing.T) {
+func TestRestorationsBeforeTheStartAreReadFromHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 5000, config: &routing.Config{Version: 1}, zoneChanges: []ZoneChange{{Zone: "a", Restored: true}, {Zone: "b"}}}
 		s.evacuated = map[string]bool{"b": true}
-		c, h := start(t, s)
+		c, h := startWatcher(t, s)
 		time.Sleep(time.Second)
 		require.Len(t, c.Restorations(time.Now()), 1)
 		require.Equal(t, "a", c.Restorations(time.Now())[0].Zone)
@@ -27,9 +27,9 @@
 
 // Guards against a router that starts just after a zone was restored and takes its upstreams for
 // warm, and against restorations that are taken anew with each report.
-func TestRestorationsAreTakenOnce(t *testing.T) {
+func TestRestorationsAreAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, h := quiet()
+		l, h := newTestLogger()
 		c := New(l)
 		taken := make(map[string][]time.Time)
 		c.FollowRestored(func(zones []string, at time.Time) {
@@ -46,7 +46,7 @@
 			c.HearRestored([]Restoration{
 				{Zone: "a", Revision: 6, At: began},
 				{Zone: "b", Revision: 4, At: began.Add(-time.Second)},
-				{Zone: "long ago", Revision: 1, At: began.Add(-restorationMemory)},
+				{Zone: "long ago", Revision: 1, At: began.Add(-restorationRetention)},
 				{Zone: "to come", Revision: 9, At: began.Add(time.Hour)},
 			}, "peer")
 		}
@@ -55,7 +55,7 @@
 
 		c.HearRestored([]Restoration{{Zone: "b", Revision: 12, At: time.Now()}}, "peer")
 		require.Len(t, taken["b"], 2, "restored again")
-		time.Sleep(restorationMemory)
+		time.Sleep(restorationRetention)
 		require.Empty(t, c.Restorations(time.Now()))
 	})
 }
--- a/pkg/catalog/sim_run_test.go
+++ b/pkg/catalog/sim_run_test.go
@@ -21,21 +21,21 @@
 	drainLimit = 2 * time.Second
 )
 
-// late gives what a router still uses though it left.
-func (r *simRouter) late(now time.Time) string {
-	if !r.calm(now) {
+// departedInUse gives what a router still uses though it left.
+func (r *simRouter) departedInUse(now time.Time) string {
+	if !r.undisturbed(now) {
 		return ""
 	}
 	for _, in := range r.catalog.Instances().List() {
-		if at, gone := r.sim.left[in.ID]; gone && in.State == upstream.Ready && now.Sub(at) > drainLimit {
+		if at, gone := r.sim.departed[in.ID]; gone && in.State == upstream.Ready && now.Sub(at) > drainLimit {
 			return fmt.Sprintf("router %d uses %s, %v after it left", r.rank, in.ID, now.Sub(at))
 		}
 	}
 	return ""
 }
 
-// bare gives how a router lacks the upstreams that it knew and that are alive.
-func (r *simRouter) bare() string {
+// lostUpstreams gives how a router lacks the upstreams that it knew and that are alive.
+func (r *simRouter) lostUpstreams() string {
 	usable, lost := 0, 0
 	for id := range r.sim.alive {
 		switch in := r.catalog.Instances().Get(id); {
@@ -54,10 +54,10 @@
 
 // Guards against upstreams that are used after they left, and against lapses that leave none, as
 // routers and the store are away in any order.
-func TestDeparturesAndLapsesAreToldApart(t *testing.T) {
+func TestDeparturesAndExpiredEntriesAreDistinguished(t *testing.T) {
 	for seed := range uint64(simSeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			l, _ := quiet()
+			l, _ := newTestLogger()
 			s := newSim(seed, l)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
@@ -69,8 +69,8 @@
 				synctest.Wait()
 				s.mu.Lock()
 				for _, r := range s.routers {
-					require.Empty(t, r.late(time.Now()), "seed %d after %v", seed, time.Since(began))
-					require.Empty(t, r.bare(), "seed %d after %v", seed, time.Since(began))
+					require.Empty(t, r.departedInUse(time.Now()), "seed %d after %v", seed, time.Since(began))
+					require.Empty(t, r.lostUpstreams(), "seed %d after %v", seed, time.Since(began))
 				}
 				s.mu.Unlock()
 			}
--- a/pkg/catalog/sim_test.go
+++ b/pkg/catalog/sim_test.go
@@ -19,8 +19,8 @@
 // heartbeat of the store's return.
 const (
 	simHeartbeat = 1200 * time.Millisecond
-	simLapse     = 3 * simHeartbeat
-	simAnswer    = 4 * time.Millisecond
+	simEntryTTL  = 3 * simHeartbeat
+	simLatency   = 4 * time.Millisecond
 )
 
 // sim is a store with upstreams and routers that are cut off from it and from each other.
@@ -28,17 +28,17 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	history history
-	// away is whether the store answers nobody, since when it does.
-	away  bool
-	since time.Time
-	// left is when an upstream's departure was accepted by a store that was there for a while (others
+	// storeDown is whether the store answers nobody, since when it does.
+	storeDown      bool
+	storeChangedAt time.Time
+	// departed is when an upstream's departure was accepted by a store that was there for a while (others
 	// bind nobody), alive holds the others and when each last
 	// renewed its entry.
-	left  map[upstream.ID]time.Time
-	alive map[upstream.ID]time.Time
-	// beats is when an upstream tries to renew its entry next.
-	beats map[upstream.ID]time.Time
-	next  int
+	departed map[upstream.ID]time.Time
+	alive    map[upstream.ID]time.Time
+	// nextHeartbeat is when an upstream tries to renew its entry next.
+	nextHeartbeat map[upstream.ID]time.Time
+	nextID        int
 
 	routers []*simRouter
 }
@@ -67,9 +67,9 @@
 
 func newSim(seed uint64, l log.Interface) *sim {
 	s := &sim{random: rand.New(rand.NewPCG(seed, 0)), history: history{states: []map[upstream.ID]upstream.Instance{{}}},
-		left: make(map[upstream.ID]time.Time), alive: make(map[upstream.ID]time.Time), beats: make(map[upstream.ID]time.Time), since: time.Now()}
+		departed: make(map[upstream.ID]time.Time), alive: make(map[upstream.ID]time.Time), nextHeartbeat: make(map[upstream.ID]time.Time), storeChangedAt: time.Now()}
 	for range simUpstreams {
-		s.arrive()
+		s.addUpstream()
 	}
 	for rank := range simRouters {
 		s.routers = append(s.routers, &simRouter{sim: s, rank: rank, catalog: New(l), known: make(map[upstream.ID]bool)})
@@ -77,21 +77,21 @@
 	return s
 }
 
-func (s *sim) arrive() {
-	id := upstream.ID(fmt.Sprint("u", s.next))
-	s.next++
+func (s *sim) addUpstream() {
+	id := upstream.ID(fmt.Sprint("u", s.nextID))
+	s.nextID++
 	s.alive[id] = time.Now()
-	s.beats[id] = time.Now().Add(time.Duration(s.random.Int64N(int64(simHeartbeat))))
+	s.nextHeartbeat[id] = time.Now().Add(time.Duration(s.random.Int64N(int64(simHeartbeat))))
 	s.history.write(id, &upstream.Instance{ID: id, Service: simService, State: upstream.Ready})
 }
 
-// depart takes an upstream away, with a word before or without.
-func (s *sim) depart() {
+// removeUpstream takes an upstream away, with a word before or without.
+func (s *sim) removeUpstream() {
 	ids := slices.Sorted(maps.Keys(s.alive))
 	id := ids[s.random.IntN(len(ids))]
 	delete(s.alive, id)
-	if time.Since(s.since) >= contactLimit {
-		s.left[id] = time.Now()
+	if time.Since(s.storeChangedAt) >= recoveryLimit {
+		s.departed[id] = time.Now()
 	}
 	if s.random.IntN(2) == 0 {
 		s.history.write(id, &upstream.Instance{ID: id, Service: simService, State: upstream.Draining})
@@ -100,27 +100,27 @@
 	s.history.write(id, nil)
 }
 
-// beat renews entries while the store is there, and lapses those that weren't renewed.
-func (s *sim) beat(now time.Time) {
+// heartbeat renews entries while the store is there, and lapses those that weren't renewed.
+func (s *sim) heartbeat(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(s.alive)) {
 		_, listed := s.history.at(s.history.newest())[id]
-		if now.Before(s.beats[id]) {
+		if now.Before(s.nextHeartbeat[id]) {
 			// It is not its time.
-		} else if s.beats[id] = now.Add(simHeartbeat); !s.away {
+		} else if s.nextHeartbeat[id] = now.Add(simHeartbeat); !s.storeDown {
 			s.alive[id] = now
 			if !listed {
 				s.history.write(id, &upstream.Instance{ID: id, Service: simService, State: upstream.Ready})
 				listed = true
 			}
 		}
-		if listed && now.Sub(s.alive[id]) >= simLapse {
+		if listed && now.Sub(s.alive[id]) >= simEntryTTL {
 			s.history.write(id, nil)
 		}
 	}
 }
 
-// pick gives whether something that comes so many times a minute comes in this step.
-func (s *sim) pick(perMinute float64, step time.Duration) bool {
+// happens gives whether something that comes so many times a minute comes in this step.
+func (s *sim) happens(perMinute float64, step time.Duration) bool {
 	return s.random.Float64() < perMinute*step.Minutes()
 }
 
@@ -129,18 +129,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.beat(now)
-	if s.pick(4, step) {
-		s.away, s.since = !s.away, now
+	s.heartbeat(now)
+	if s.happens(4, step) {
+		s.storeDown, s.storeChangedAt = !s.storeDown, now
 	}
-	if !s.away && s.pick(30, step) && len(s.alive) > simUpstreams/2 {
-		s.depart()
+	if !s.storeDown && s.happens(30, step) && len(s.alive) > simUpstreams/2 {
+		s.removeUpstream()
 	}
-	if !s.away && len(s.alive) < simUpstreams && s.pick(60, step) {
-		s.arrive()
+	if !s.storeDown && len(s.alive) < simUpstreams && s.happens(60, step) {
+		s.addUpstream()
 	}
 	for _, r := range s.routers {
-		if lasts := time.Duration(1+s.random.IntN(8)) * time.Second; s.pick(4, step) {
+		if lasts := time.Duration(1+s.random.IntN(8)) * time.Second; s.happens(4, step) {
 			kind := s.random.IntN(3)
 			if kind != 0 {
 				r.cutStore = now.Add(lasts)
@@ -153,13 +153,13 @@
 	for range simReports {
 		a, b := s.routers[s.random.IntN(simRouters)], s.routers[s.random.IntN(simRouters)]
 		if a != b && now.After(a.cutPeers) && now.After(b.cutPeers) {
-			b.hear(a)
+			b.receiveReport(a)
 		}
 	}
 }
 
-// hear is a report of another router, and the question for what it knows more.
-func (r *simRouter) hear(from *simRouter) {
+// receiveReport is a report of another router, and the question for what it knows more.
+func (r *simRouter) receiveReport(from *simRouter) {
 	c, peer := r.catalog, from.catalog
 	c.Vouch(peer.Contact())
 	asOf := time.Now().Add(-peer.InstancesAge(time.Now()))
@@ -174,18 +174,18 @@
 	}
 }
 
-// calm reports whether nothing has disturbed a router or the store for a while.
-func (r *simRouter) calm(now time.Time) bool {
+// undisturbed reports whether nothing has disturbed a router or the store for a while.
+func (r *simRouter) undisturbed(now time.Time) bool {
 	s := r.sim
-	return !s.away && now.Sub(s.since) >= contactLimit && now.Sub(r.cutStore) >= contactLimit && now.Sub(r.cutPeers) >= contactLimit
+	return !s.storeDown && now.Sub(s.storeChangedAt) >= recoveryLimit && now.Sub(r.cutStore) >= recoveryLimit && now.Sub(r.cutPeers) >= recoveryLimit
 }
 
-// ask waits until the store has an answer for r, as long as ctx.
-func (r *simRouter) ask(ctx context.Context, wait time.Duration, news func() bool) error {
-	waiting.For(ctx, simAnswer)
-	for began := time.Now(); ctx.Err() == nil; waiting.For(ctx, simAnswer) {
+// request waits until the store has an answer for r, as long as ctx.
+func (r *simRouter) request(ctx context.Context, wait time.Duration, news func() bool) error {
+	waiting.For(ctx, simLatency)
+	for began := time.Now(); ctx.Err() == nil; waiting.For(ctx, simLatency) {
 		r.sim.mu.Lock()
-		reached := !r.sim.away && time.Now().After(r.cutStore)
+		reached := !r.sim.storeDown && time.Now().After(r.cutStore)
 		done := news() || time.Since(began) >= wait
 		r.sim.mu.Unlock()
 		if !reached {
@@ -203,7 +203,7 @@
 
 // Instances implements Store.
 func (r *simRouter) Instances(ctx context.Context) ([]upstream.Instance, Stamp, error) {
-	if err := r.ask(ctx, 0, func() bool { return true }); err != nil {
+	if err := r.request(ctx, 0, func() bool { return true }); err != nil {
 		return nil, Stamp{}, err
 	}
 	r.sim.mu.Lock()
@@ -213,7 +213,7 @@
 
 // InstancesAfter implements Store.
 func (r *simRouter) InstancesAfter(ctx context.Context, after Revision, wait time.Duration) ([]upstream.Change, Stamp, error) {
-	if err := r.ask(ctx, wait, func() bool { return r.sim.history.newest() > after }); err != nil {
+	if err := r.request(ctx, wait, func() bool { return r.sim.history.newest() > after }); err != nil {
 		return nil, Stamp{}, err
 	}
 	r.sim.mu.Lock()
--- a/pkg/catalog/storeclock.go
+++ b/pkg/catalog/storeclock.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// storeClock dates answers of the store by its steady clock.
+// storeClock dates responses of the store by the store's monotonic clock.
 //
-// Guard: an answer may wait, unread, in a process that stands still or behind a link that heals.
-// Dated by when it is read, an old list would pass for a current one, here and at the routers that
-// are told of it.
+// A response may wait unread while the process is paused or the network is interrupted. Dated by
+// when it is read, an old list would pass for a current one, here and at the routers that receive
+// it.
 type storeClock struct {
-	// earliest and latest bound the local time at which the store's clock was zero.
-	earliest, latest time.Time
+	// zeroMin and zeroMax bound the local time at which the store's clock was zero.
+	zeroMin, zeroMax time.Time
 }
 
-// date gives the latest time that an answer is sure to be as of. It was asked for at asked, read at
-// read, and made at clock of the store's; 0 where it doesn't say.
-func (s *storeClock) date(asked, read time.Time, clock time.Duration) time.Time {
+// asOf returns the latest time at which a response is certain to have been current. The response
+// was requested at requestedAt, read at readAt, and sent at clock on the store's clock; 0 if
+// unknown.
+func (s *storeClock) asOf(requestedAt, readAt time.Time, clock time.Duration) time.Time {
 	if clock <= 0 {
-		return read
+		return readAt
 	}
-	earliest, latest := asked.Add(-clock), read.Add(-clock)
-	if s.earliest.After(earliest) {
-		earliest = s.earliest
+	earliest, latest := requestedAt.Add(-clock), readAt.Add(-clock)
+	if s.zeroMin.After(earliest) {
+		earliest = s.zeroMin
 	}
-	if !s.latest.IsZero() && s.latest.Before(latest) {
-		latest = s.latest
+	if !s.zeroMax.IsZero() && s.zeroMax.Before(latest) {
+		latest = s.zeroMax
 	}
 	if earliest.After(latest) {
-		// One of the clocks jumped, or they drifted apart: what was known is void.
-		earliest, latest = asked.Add(-clock), read.Add(-clock)
+		// A clock jumped, or the clocks drifted apart: the earlier bounds are invalid.
+		earliest, latest = requestedAt.Add(-clock), readAt.Add(-clock)
 	}
-	s.earliest, s.latest = earliest, latest
+	s.zeroMin, s.zeroMax = earliest, latest
 	return earliest.Add(clock)
 }
--- a/pkg/catalog/storeclock_test.go
+++ b/pkg/catalog/storeclock_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against answers that are dated later than they were made, whatever they waited for.
-func TestAnswersAreNeverDatedTooLate(t *testing.T) {
+func TestResponsesAreNeverDatedTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c storeClock
 		start := time.Unix(1_000_000, 0)
@@ -22,7 +22,7 @@
 			asked := now + ms(700, "pause")
 			made := asked + ms(1500, "there")
 			read := made + ms(4000, "back")
-			date := c.date(start.Add(asked), start.Add(read), began+made)
+			date := c.asOf(start.Add(asked), start.Add(read), began+made)
 			require.False(t, date.After(start.Add(made)))
 			require.False(t, date.Before(start.Add(asked)))
 			now = read
@@ -31,12 +31,12 @@
 }
 
 // Guards against dates by a clock that has jumped.
-func TestAClockThatJumpedIsLearnedAnew(t *testing.T) {
+func TestClockJumpsAreDetected(t *testing.T) {
 	var c storeClock
 	start, quick := time.Unix(1_000_000, 0), 4*time.Millisecond
 	for i, clock := range []time.Duration{time.Hour, time.Hour + time.Second, time.Minute, time.Minute + time.Second, 2 * time.Hour} {
 		asked := start.Add(time.Duration(i) * time.Second)
-		require.WithinDuration(t, asked, c.date(asked, asked.Add(quick), clock), quick)
+		require.WithinDuration(t, asked, c.asOf(asked, asked.Add(quick), clock), quick)
 	}
-	require.Equal(t, start, c.date(start.Add(-time.Second), start, 0), "a store without a clock")
+	require.Equal(t, start, c.asOf(start.Add(-time.Second), start, 0), "a store without a clock")
 }
--- a/pkg/catalog/watch.go
+++ b/pkg/catalog/watch.go
@@ -13,94 +13,98 @@
 	"github.com/flamingowind/flamingowind/pkg/backoff"
 )
 
-// Pace of the watches.
+// Timing of the watches.
 const (
-	// configWait is how long one question for a newer configuration stays open, just under
-	// the longest that the store allows. Longer waits cost fewer calls; a connection that
-	// died is noticed by its own keep-alive.
+	// configWait is how long one request for a newer configuration stays open, just under the
+	// longest wait that the store allows. Longer waits cost fewer calls; a dead connection is
+	// detected by its keep-alive.
 	configWait = 25 * time.Second
-	// instancesWait is how long one question for changed instances stays open, answerTimeout how
-	// much later its answer may come. With the pauses they bound how long it takes to notice that
-	// the connection went silent; a router's news must not be older than three seconds then.
-	instancesWait = 1400 * time.Millisecond
-	answerTimeout = 500 * time.Millisecond
-	// instancesPause is the pause between two questions: heartbeats change rows all the
-	// time, and asking without pause would cost a call for each. It stays well under the
-	// two seconds in which a leaving upstream must be left alone.
+	// instancesWait is how long one request for changed instances stays open, responseTimeout how
+	// much later its response may arrive. Together with the pauses they bound how long it takes to
+	// notice that the connection went silent: by then a router's list must not be older than three
+	// seconds.
+	instancesWait   = 1400 * time.Millisecond
+	responseTimeout = 500 * time.Millisecond
+	// instancesPause is the pause between two requests: heartbeats change rows all the time, and
+	// without a pause each change would cost a call. It is well under the two seconds within which
+	// a leaving upstream must get no more requests.
 	instancesPause = 700 * time.Millisecond
-	// tellingWait is this time for routers that read for many: the others take the list for
-	// old when nobody has confirmed it for followerAge, and would ask.
-	tellingWait = 250 * time.Millisecond
-	// followerAge is the age at which a router that leaves the reading to others asks the
-	// store after all, longer where it isn't the next one to ask.
-	followerAge = 1400 * time.Millisecond
-	// shortestPause is the shortest pause between two questions, where an answer is due.
-	shortestPause = 20 * time.Millisecond
-	// hearPause is the pause between two looks whether others have told what a router that
-	// starts must know.
-	hearPause = 20 * time.Millisecond
-	// readTimeout bounds the silence of a call that doesn't wait, listTimeout that of the read of the
-	// whole list: while the store is silent, its return is noticed by the next one.
+	// manyFollowersWait replaces instancesWait in routers that read for many others: these consider
+	// their list outdated when nobody has confirmed it for followerMaxAge, and would all read the
+	// store.
+	manyFollowersWait = 250 * time.Millisecond
+	// followerMaxAge is the age of the list at which a router that leaves the reading to others
+	// reads the store itself. Role.Turn is added to it.
+	followerMaxAge = 1400 * time.Millisecond
+	// minPause is the shortest pause between two requests while a grace period ends.
+	minPause = 20 * time.Millisecond
+	// peerCheckPause is the pause between two checks whether peers have sent what a starting router
+	// needs.
+	peerCheckPause = 20 * time.Millisecond
+	// readTimeout bounds the silence of a call that does not wait for changes, listTimeout that of
+	// reading the whole list: while the store is silent, the next call notices its recovery.
 	readTimeout = 1500 * time.Millisecond
 	listTimeout = time.Second
-	// outage is how long the store must have been silent for entries to have lapsed: they
-	// live for three heartbeats, of a second or more.
-	outage = 3 * time.Second
+	// minOutage is how long the store must have been silent for entries to have expired: they live
+	// for three heartbeats, of a second or more each.
+	minOutage = 3 * time.Second
 )
 
 // Watcher keeps a catalog up to date from a store.
 type Watcher struct {
 	catalog *Catalog
 	store   Store
-	duties  Duties
+	role    Duties
 	log     log.Interface
-	// clock dates answers to questions for instances.
+	// clock dates responses to requests for instances.
 	clock storeClock
-	// away is whether the newest question for instances failed.
-	away atomic.Bool
-	// lookedBack is whether the store's history from before the first read was asked for.
-	lookedBack bool
-	// waits is the open question for a newer configuration.
-	waits atomic.Pointer[patience.Call]
+	// storeDown is whether the newest request for instances failed.
+	storeDown atomic.Bool
+	// historyRead is whether the changes just before the first read were requested.
+	historyRead bool
+	// configCall is the open request for a newer configuration.
+	configCall atomic.Pointer[patience.Call]
 }
 
-// Duties say what a router reads from the store for all; the rest is told by other routers.
+// Duties say what a router reads from the store for the whole fleet; it receives the rest from
+// other routers.
 type Duties interface {
-	// ReadsInstances reports whether the router reads the list of instances, ReadsConfig
-	// whether it waits for newer configurations.
+	// ReadsInstances reports whether the router reads the instance list, ReadsConfig whether it
+	// waits for newer configurations.
 	ReadsInstances() bool
 	ReadsConfig() bool
-	// TellsMany reports whether many others go by what this router reads.
+	// TellsMany reports whether many other routers rely on what this one reads.
 	TellsMany() bool
-	// Turn is how long after the first ones the router asks the store when none tells it.
+	// Turn returns how much later than the first routers this one reads the store when no peer
+	// sends updates.
 	Turn() time.Duration
-	// HearsFirst reports whether a router that started waited ago leaves the store to others
-	// yet, as they may tell it.
+	// HearsFirst reports whether a router that started waited ago still waits for its peers' state
+	// instead of reading the store.
 	HearsFirst(waited time.Duration) bool
-	// Callers is how many routers ask the store, this one included.
+	// Callers returns the number of routers that call the store, this one included.
 	Callers() int
 }
 
-// NewWatcher returns a watcher that fills catalog.
+// NewWatcher returns a watcher that updates catalog c from s.
 func NewWatcher(c *Catalog, s Store, d Duties, l log.Interface) *Watcher {
-	return &Watcher{catalog: c, store: s, duties: d, log: l}
+	return &Watcher{catalog: c, store: s, role: d, log: l}
 }
 
-// WatchConfig runs until ctx ends.
+// WatchConfig keeps the configuration and the evacuated zones up to date until ctx ends.
 func (w *Watcher) WatchConfig(ctx context.Context) {
 	dep := newDependency("store config", w.log)
 	var rev Revision
 	var failures backoff.Backoff
-	w.hear(ctx, func() bool { return w.catalog.Version() > 0 })
+	w.waitForPeers(ctx, func() bool { return w.catalog.Version() > 0 })
 	for ctx.Err() == nil {
-		if w.toldConfig() {
-			rev = 0 // asked again, the store is asked for the whole configuration
-			w.follow(ctx)
+		if w.followsConfig() {
+			rev = 0 // the next request to the store reads everything
+			w.waitAsFollower(ctx)
 			continue
 		}
-		asked := time.Now()
+		startedAt := time.Now()
 		next, err := w.nextConfig(ctx, rev)
-		dep.observe(err, asked)
+		dep.observe(err, startedAt)
 		if err == nil && next > 0 {
 			failures.Succeeded()
 			rev = next
@@ -110,63 +114,64 @@
 		if errors.Is(err, ErrHistoryGone) {
 			continue
 		}
-		w.rest(ctx, &failures, w.toldConfig)
+		w.pauseAfterFailure(ctx, &failures, w.followsConfig)
 	}
 }
 
-// hear waits until others have told this router what known looks for, as long as it leaves
-// the store to them.
-func (w *Watcher) hear(ctx context.Context, known func() bool) {
+// waitForPeers waits until peers have sent what known checks for, as long as the router leaves the
+// store to them.
+func (w *Watcher) waitForPeers(ctx context.Context, known func() bool) {
 	began := time.Now()
-	for !known() && w.duties.HearsFirst(time.Since(began)) {
-		if !waiting.For(ctx, hearPause) {
+	for !known() && w.role.HearsFirst(time.Since(began)) {
+		if !waiting.For(ctx, peerCheckPause) {
 			return
 		}
 	}
 }
 
-// rest pauses after a failed call. Routers that read for all go on asking at the shortest
-// pause: the others hear of the store's return from them. The pause ends early when fewer
-// routers share the store than before, as one that is cut off from the others is told nothing.
-func (w *Watcher) rest(ctx context.Context, failures *backoff.Backoff, told func() bool) {
-	pause, began := failures.Failed(w.duties.Callers()), time.Now()
+// pauseAfterFailure pauses after a failed call. Routers that read for the fleet retry at the
+// shortest pause: the others learn of the store's recovery from them. The pause ends early when
+// fewer routers share the store than before, as a router that is cut off from the others receives
+// nothing from them.
+func (w *Watcher) pauseAfterFailure(ctx context.Context, failures *backoff.Backoff, told func() bool) {
+	pause, began := failures.Failed(w.role.Callers()), time.Now()
 	for {
-		if w.duties.ReadsInstances() {
+		if w.role.ReadsInstances() {
 			pause = backoff.First
 		}
-		left := min(pause, backoff.Longest(w.duties.Callers())) - time.Since(began)
-		if left <= 0 || told() || !waiting.For(ctx, min(left, followPause)) {
+		left := min(pause, backoff.Longest(w.role.Callers())) - time.Since(began)
+		if left <= 0 || told() || !waiting.For(ctx, min(left, staleCheckPause)) {
 			return
 		}
 	}
 }
 
-// WatchInstances runs until ctx ends.
+// WatchInstances keeps the instance list up to date until ctx ends.
 func (w *Watcher) WatchInstances(ctx context.Context) {
 	dep := newDependency("store instances", w.log)
 	var rev Revision
 	var failures backoff.Backoff
-	w.hear(ctx, func() bool { return w.catalog.InstancesRevision() > 0 })
+	w.waitForPeers(ctx, func() bool { return w.catalog.InstancesRevision() > 0 })
 	for ctx.Err() == nil {
-		if w.followed() {
-			// The peers' list is newer than what this watch has seen.
+		if w.followsInstances() {
+			// The list from peers is newer than what this watch has read.
 			rev = w.catalog.InstancesRevision()
-			w.follow(ctx)
+			w.waitAsFollower(ctx)
 			continue
 		}
-		asked := time.Now()
+		startedAt := time.Now()
 		next, err := w.nextInstances(ctx, rev)
-		dep.observe(err, asked)
-		_, pause := w.pace()
+		dep.observe(err, startedAt)
+		_, pause := w.requestTiming()
 		lost := err != nil && !errors.Is(err, ErrHistoryGone)
-		w.away.Store(lost)
+		w.storeDown.Store(lost)
 		switch {
 		case lost:
-			w.doubtConfig()
-			w.rest(ctx, &failures, w.followed)
+			w.renewConfigRequest()
+			w.pauseAfterFailure(ctx, &failures, w.followsInstances)
 			next, pause = 0, 0
 		case err != nil:
-			w.doubtConfig()
+			w.renewConfigRequest()
 			next, pause = 0, 0
 		default:
 			failures.Succeeded()
@@ -179,96 +184,99 @@
 	}
 }
 
-// pace gives how long a question for changed instances stays open, and the pause after it. The
-// store is asked anew as a grace ends.
-func (w *Watcher) pace() (wait, pause time.Duration) {
+// requestTiming returns how long a request for changed instances stays open, and the pause after
+// it. When a grace period ends, the store is read again.
+func (w *Watcher) requestTiming() (wait, pause time.Duration) {
 	wait, pause = instancesWait, instancesPause
-	if w.duties.TellsMany() {
-		wait = tellingWait
+	if w.role.TellsMany() {
+		wait = manyFollowersWait
 	}
 	if end, open := w.catalog.GraceEnd(); open {
 		left := max(0, time.Until(end))
-		wait, pause = min(wait, left), min(pause, max(left, shortestPause))
+		wait, pause = min(wait, left), min(pause, max(left, minPause))
 	}
 	return wait, pause
 }
 
-// doubtConfig makes the watch of the configuration ask anew.
+// renewConfigRequest ends the open request for a newer configuration, so that the watch sends a new
+// one.
 //
-// Guard: a store that fell silent may never answer what it was asked then, and the question
-// for a newer configuration stays open for long. The watch of the instances asks often and
-// finds the silence out first. A question whose answer has begun to come goes on.
-func (w *Watcher) doubtConfig() {
-	if call := w.waits.Swap(nil); call != nil {
+// A store that fell silent may never respond to requests from that time, and the request for a
+// newer configuration stays open for long. The watch of the instances sends requests often and
+// detects the silence first. A request whose response has begun to arrive continues.
+func (w *Watcher) renewConfigRequest() {
+	if call := w.configCall.Swap(nil); call != nil {
 		call.Doubt()
 	}
 }
 
-// Pauses between two looks whether peers still keep the list current: of a list that is soon too
-// old, and of others.
+// Pauses between two checks whether peers still keep the list current: for a list that will soon be
+// too old, and for others.
 const (
-	followPause = 100 * time.Millisecond
-	calmPause   = 250 * time.Millisecond
+	staleCheckPause = 100 * time.Millisecond
+	freshCheckPause = 250 * time.Millisecond
 )
 
-// follow pauses while peers keep the list current. Nothing is to be done before the list is too
-// old, but the router's duties may change meanwhile.
-func (w *Watcher) follow(ctx context.Context) {
+// waitAsFollower pauses while peers keep the list current. Nothing is to be done until the list is
+// too old, but the router's duties may change meanwhile.
+func (w *Watcher) waitAsFollower(ctx context.Context) {
 	now := time.Now()
-	if w.mostAge()-w.catalog.InstancesAge(now) < calmPause {
-		waiting.For(ctx, followPause)
+	if w.maxListAge()-w.catalog.InstancesAge(now) < freshCheckPause {
+		waiting.For(ctx, staleCheckPause)
 		return
 	}
-	waiting.For(ctx, waiting.Aligned(now, calmPause))
+	waiting.For(ctx, waiting.Aligned(now, freshCheckPause))
 }
 
-// toldConfig reports whether peers tell of newer configurations, or nobody can. They do as long
-// as they keep the list of instances current: each report names both versions. While the store
-// doesn't answer the question for instances, one for the configuration is in vain too.
-func (w *Watcher) toldConfig() bool {
-	return !w.duties.ReadsConfig() && w.catalog.Version() > 0 && (w.current() || w.away.Load())
+// followsConfig reports whether peers announce newer configurations, or the store is unavailable
+// anyway. Peers announce them as long as they keep the instance list current: each report carries
+// both versions. While requests for instances fail, one for the configuration would fail too.
+func (w *Watcher) followsConfig() bool {
+	return !w.role.ReadsConfig() && w.catalog.Version() > 0 && (w.listCurrent() || w.storeDown.Load())
 }
 
-// followed reports whether the store need not be asked: peers that read it keep the list
-// current. Each router's own questions would cost calls that grow with the fleet.
-func (w *Watcher) followed() bool {
-	return !w.duties.ReadsInstances() && w.current() && !w.overdue(time.Now())
+// followsInstances reports whether the router need not read the instance list, as peers that read
+// the store keep it current. If every router read the store, the cost of calls would grow with the
+// fleet.
+func (w *Watcher) followsInstances() bool {
+	return !w.role.ReadsInstances() && w.listCurrent() && !w.graceOverdue(time.Now())
 }
 
-// overdue reports whether a grace should have ended and nobody tells what is still missing.
-func (w *Watcher) overdue(now time.Time) bool {
+// graceOverdue reports whether a grace period should have ended and nobody reports what is still
+// missing.
+func (w *Watcher) graceOverdue(now time.Time) bool {
 	end, open := w.catalog.GraceEnd()
-	return open && now.Sub(end) > followPause+w.duties.Turn()
+	return open && now.Sub(end) > staleCheckPause+w.role.Turn()
 }
 
-// current reports whether the list of instances is known to be current.
-func (w *Watcher) current() bool {
-	return w.catalog.InstancesRevision() > 0 && w.catalog.InstancesAge(time.Now()) < w.mostAge()
+// listCurrent reports whether the instance list is known to be listCurrent.
+func (w *Watcher) listCurrent() bool {
+	return w.catalog.InstancesRevision() > 0 && w.catalog.InstancesAge(time.Now()) < w.maxListAge()
 }
 
-// mostAge is the age from which on the list isn't current.
-func (w *Watcher) mostAge() time.Duration { return followerAge + w.duties.Turn() }
+// maxListAge is the age at which the list is no longer current.
+func (w *Watcher) maxListAge() time.Duration { return followerMaxAge + w.role.Turn() }
 
 func (w *Watcher) nextInstances(ctx context.Context, after Revision) (Revision, error) {
 	if after == 0 {
 		ctx, call := patience.With(ctx, listTimeout)
 		defer call.End()
-		asked := time.Now()
+		startedAt := time.Now()
 		list, stamp, err := w.store.Instances(ctx)
 		if err != nil {
 			return 0, errors.Trace(err)
 		}
-		w.catalog.Replace(list, stamp.Revision, w.clock.date(asked, time.Now(), stamp.Clock), "store")
+		w.catalog.Replace(list, stamp.Revision, w.clock.asOf(startedAt, time.Now(), stamp.Clock), "store")
 		return stamp.Revision, nil
 	}
-	wait, _ := w.pace()
-	ctx, call := patience.With(ctx, wait+answerTimeout)
+	wait, _ := w.requestTiming()
+	ctx, call := patience.With(ctx, wait+responseTimeout)
 	defer call.End()
-	asked := time.Now()
+	startedAt := time.Now()
 	changes, stamp, err := w.store.InstancesAfter(ctx, after, wait)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	w.catalog.Apply(changes, after, stamp.Revision, w.clock.date(asked, time.Now(), stamp.Clock), "store")
+	w.catalog.Apply(changes, after, stamp.Revision, w.clock.asOf(startedAt, time.Now(), stamp.Clock), "store")
 	return stamp.Revision, nil
 }
--- a/pkg/catalog/watchconfig.go
+++ b/pkg/catalog/watchconfig.go
@@ -9,11 +9,12 @@
 	"github.com/flamingowind/flamingowind/internal/patience"
 )
 
-// lookBack is the number of revisions before its first read that a router which starts asks for:
-// more than upstreams write within two heartbeats, after which their entries say that they are cold.
-const lookBack Revision = 1000
+// historyOverlap is the number of revisions before its first read for which a starting router
+// requests the changes: more than upstreams write within two heartbeats, after which their entries
+// say that they are cold.
+const historyOverlap Revision = 1000
 
-// nextConfig reads what is declared, or waits for what is declared after a revision.
+// nextConfig reads all declarations, or waits for those after a revision.
 func (w *Watcher) nextConfig(ctx context.Context, after Revision) (Revision, error) {
 	if after == 0 {
 		ctx, call := patience.With(ctx, readTimeout)
@@ -22,13 +23,13 @@
 		if err != nil {
 			return 0, errors.Trace(err)
 		}
-		w.catalog.Evacuate(zonesOf(declared.Zones), rev, "store")
+		w.catalog.Evacuate(evacuatedZones(declared.Zones), rev, "store")
 		w.adopt(declared)
-		return w.since(rev), nil
+		return w.watchStart(rev), nil
 	}
 	ctx, call := patience.With(ctx, configWait+readTimeout)
 	defer call.End()
-	w.waits.Store(call)
+	w.configCall.Store(call)
 	declared, rev, err := w.store.DeclaredAfter(ctx, after, configWait)
 	if err != nil {
 		return 0, errors.Trace(err)
@@ -39,20 +40,20 @@
 	return rev, nil
 }
 
-// since is the revision from which on the watch goes on after a read: some time before it for the
-// first one.
+// watchStart returns the revision after which the watch continues after a read. After the first
+// read it is some time earlier.
 //
-// Guard: routers that all start just after a zone was restored have nobody to tell them. The zone's
+// Routers that all start just after a zone was restored have no peer to learn that from. The zone's
 // upstreams may still be listed as warm.
-func (w *Watcher) since(read Revision) Revision {
-	if w.lookedBack {
+func (w *Watcher) watchStart(read Revision) Revision {
+	if w.historyRead {
 		return read
 	}
-	w.lookedBack = true
-	return max(1, read-lookBack)
+	w.historyRead = true
+	return max(1, read-historyOverlap)
 }
 
-// restorations gives those among changes that were heard of by now.
+// restorations returns the restorations among changes, which this router learned of at now.
 func restorations(changes []ZoneChange, rev Revision, now time.Time) []Restoration {
 	var list []Restoration
 	for _, ch := range changes {
@@ -63,7 +64,7 @@
 	return list
 }
 
-// adopt takes the configuration of a declaration, if there is one.
+// adopt adopts the configuration of a declaration, if there is one.
 func (w *Watcher) adopt(d Declared) {
 	if d.Config != nil {
 		w.catalog.Adopt(d.Config, "store")
