--- a/pkg/dispatch/fake_test.go
+++ b/pkg/dispatch/fake_test.go
@@ -129,6 +129,6 @@
 func requireComplete(t testing.TB, r Result) {
 	t.Helper()
 	if r.Err != nil {
-		t.Fatalf("not whole: %v", r.Err)
+		t.Fatalf("response is incomplete: %v", r.Err)
 	}
 }
--- a/pkg/dispatch/faults.go
+++ b/pkg/dispatch/faults.go
@@ -13,7 +13,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Errors of an attempt.
+// Errors of an attempt. Their texts are sent to callers in error responses.
 const (
 	errConnBroken = errors.ConstError("the connection to the upstream broke")
 	errTimeout    = errors.ConstError("the upstream sent nothing for too long")
--- a/pkg/dispatch/garbage_test.go
+++ b/pkg/dispatch/garbage_test.go
@@ -14,10 +14,11 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// rawResponse answers with raw bytes, then closes the connection. ID stands for the attempt.
+// rawResponse responds with raw bytes, in which ID stands for the attempt's ID, and closes the
+// connection.
 func rawResponse(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // closing with unread bytes would reset the connection and lose the answer
+		_, _ = io.Copy(io.Discard, r.Body) // closing with unread bytes would reset the connection and lose the response
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
@@ -32,11 +33,10 @@
 	headerStream = headerOK + "Content-Type: text/event-stream\r\n\r\n"
 )
 
-// An upstream answers something that is not the whole answer to this request: the
-// caller would take a cut, foreign or meaningless answer for its own. Each must end as
-// a typed error with the verdict may-have-run, and only a connection that broke counts
-// as the upstream's death.
-func TestAnswersThatAreNotWhole(t *testing.T) {
+// Guards against truncated, malformed or misdirected responses that are passed on to the caller.
+// Each must end as a typed error with the verdict may-have-run, and only a broken connection counts
+// as a crash of the upstream.
+func TestInvalidResponses(t *testing.T) {
 	service := &Call{Method: http.MethodPost, Body: []byte("x")}
 	model := &Call{Method: http.MethodPost, Body: []byte("{}"), Model: true}
 	stream := streamCall(false)
@@ -48,32 +48,32 @@
 		outcome wire.Outcome
 		fault   error
 	}{
-		{"no HTTP", service, "hello\r\n\r\n", failed, errMalformed},
-		{"nothing", service, "", died, errConnBroken},
-		{"cut head", service, "HTTP/1.1 200 OK\r\nFlam", died, errConnBroken},
-		{"cut body", service, headerOK + "Content-Length: 9\r\n\r\nabc", died, errConnBroken},
-		{"cut chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", died, errConnBroken},
-		{"bad chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", failed, errMalformed},
-		{"no length, no JSON", model, headerOK + "\r\n{", failed, errMalformed},
-		{"no length, huge", service, headerOK + "\r\n" + strings.Repeat("x", 2048), failed, errTooLarge},
-		{"huge declared", service, headerOK + "Content-Length: 999999\r\n\r\n", failed, errTooLarge},
-		{"huge chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048), failed, errTooLarge},
-		{"huge head", service, headerOK + "X: " + strings.Repeat("x", maxResponseHeader) + "\r\n\r\n", failed, errMalformed},
-		{"other attempt", service, "HTTP/1.1 200 OK\r\nFlamingowind-Attempt: other\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
-		{"no attempt", service, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
-		{"two attempts", service, headerOK + "Flamingowind-Attempt: ID\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
+		{"not HTTP", service, "hello\r\n\r\n", failed, errMalformed},
+		{"empty", service, "", died, errConnBroken},
+		{"truncated header", service, "HTTP/1.1 200 OK\r\nFlam", died, errConnBroken},
+		{"truncated body", service, headerOK + "Content-Length: 9\r\n\r\nabc", died, errConnBroken},
+		{"truncated chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", died, errConnBroken},
+		{"malformed chunks", service, headerOK + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", failed, errMalformed},
+		{"no length, invalid JSON", model, headerOK + "\r\n{", failed, errMalformed},
+		{"no length, too large", service, headerOK + "\r\n" + strings.Repeat("x", 2048), failed, errTooLarge},
+		{"declared length too large", service, headerOK + "Content-Length: 999999\r\n\r\n", failed, errTooLarge},
+		{"chunks too large", service, headerOK + "Transfer-Encoding: chunked\r\n\r\n800\r\n" + strings.Repeat("x", 2048), failed, errTooLarge},
+		{"header too large", service, headerOK + "X: " + strings.Repeat("x", maxResponseHeader) + "\r\n\r\n", failed, errMalformed},
+		{"ID of another attempt", service, "HTTP/1.1 200 OK\r\nFlamingowind-Attempt: other\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
+		{"no attempt ID", service, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
+		{"two attempt IDs", service, headerOK + "Flamingowind-Attempt: ID\r\nContent-Length: 0\r\n\r\n", failed, errWrongID},
 		{"upgrade", service, "HTTP/1.1 101 Switching Protocols\r\nFlamingowind-Attempt: ID\r\n\r\n", failed, errMalformed},
-		{"no JSON", model, headerOK + "Content-Length: 3\r\n\r\nabc", failed, errMalformed},
-		{"no stream", stream, headerOK + "Content-Length: 2\r\n\r\n{}", failed, errMalformed},
-		{"stream of nothing", stream, headerStream, died, errConnBroken},
-		{"event of garbage", stream, headerStream + "data: abc\n\n", failed, errMalformed},
-		{"event of list", stream, headerStream + "data: []\n\n", failed, errMalformed},
-		{"empty event", stream, headerStream + "data:\n\n", failed, errMalformed},
+		{"invalid JSON", model, headerOK + "Content-Length: 3\r\n\r\nabc", failed, errMalformed},
+		{"not a stream", stream, headerOK + "Content-Length: 2\r\n\r\n{}", failed, errMalformed},
+		{"empty stream", stream, headerStream, died, errConnBroken},
+		{"event with invalid JSON", stream, headerStream + "data: abc\n\n", failed, errMalformed},
+		{"event with a JSON array", stream, headerStream + "data: []\n\n", failed, errMalformed},
+		{"event with empty data", stream, headerStream + "data:\n\n", failed, errMalformed},
 		{"two data lines", stream, headerStream + "data: {}\ndata: {}\n\n", failed, errMalformed},
-		{"bad id", stream, headerStream + "id: -1\ndata: {}\n\n", failed, errMalformed},
-		{"gap", stream, headerStream + eventText(0) + eventText(2), failed, errMalformed},
-		{"huge event", stream, headerStream + "data: " + strings.Repeat("x", 2048), failed, errTooLarge},
-		{"huge stream", stream, headerStream + eventsText(0, 500), failed, errTooLarge},
+		{"invalid event ID", stream, headerStream + "id: -1\ndata: {}\n\n", failed, errMalformed},
+		{"skipped event ID", stream, headerStream + eventText(0) + eventText(2), failed, errMalformed},
+		{"event too large", stream, headerStream + "data: " + strings.Repeat("x", 2048), failed, errTooLarge},
+		{"stream too large", stream, headerStream + eventsText(0, 500), failed, errTooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 			slot := &fakeSlot{url: up.URL}
 			r := d.Do(t.Context(), slot, c.call, new(fakeSink))
 			if r.Err == nil {
-				t.Fatal("taken for whole")
+				t.Fatal("response was accepted as complete")
 			}
 			checkEqual(t, "message", c.fault.Error(), r.Err.Message)
 			checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
@@ -98,8 +98,8 @@
 	return l
 }
 
-// An answer with another attempt's ID shows that a connection is out of step. All later
-// answers on it would be out of step too, so it must not be used again.
+// A response with another attempt's ID shows that requests and responses on a connection are out of
+// step. All later responses on it would be out of step too, so it must not be reused.
 func TestWrongAttemptDropsTheConnection(t *testing.T) {
 	var conns atomic.Int32
 	up := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -121,8 +121,8 @@
 	checkEqual(t, "connections", int32(3), conns.Load())
 }
 
-// An upstream takes a request and then says nothing, with its connection open. The
-// attempt must end by itself, with the verdict may-have-run, and be cancelled.
+// An upstream accepts a request and then sends nothing on the open connection. The attempt must time
+// out with the verdict may-have-run and be canceled at the upstream.
 func TestHangingUpstream(t *testing.T) {
 	for name, call := range map[string]*Call{
 		"plain":  {Method: http.MethodPost, Body: []byte("{}"), Model: true},
@@ -131,7 +131,7 @@
 		t.Run(name, func(t *testing.T) {
 			cancelled := make(chan struct{}, 1)
 			up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.Copy(io.Discard, r.Body) // else net/http doesn't watch the connection
+				_, _ = io.Copy(io.Discard, r.Body) // otherwise net/http doesn't watch the connection
 				if r.Method == http.MethodDelete {
 					cancelled <- struct{}{}
 					echoAttempt(w, r)
@@ -155,9 +155,9 @@
 	}
 }
 
-// Guards against an answer that ends with its upstream's connection and is taken for whole though the
-// upstream died, or for broken though it is well.
-func TestAnAnswerWithoutLengthIsWholeIfItsUpstreamLives(t *testing.T) {
+// Only the connection's close ends a response without a length. Guards against one that is accepted
+// as complete although the upstream crashed, or as broken although the upstream is alive.
+func TestResponseWithoutLengthIsCompleteIfUpstreamIsAlive(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		var up *httptest.Server
 		up = newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
@@ -173,7 +173,7 @@
 			continue
 		}
 		checkEqual(t, "failed", true, r.Err != nil)
-		checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-		checkEqual(t, "slot.outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
+		checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
+		checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
 	}
 }
--- a/pkg/dispatch/plain.go
+++ b/pkg/dispatch/plain.go
@@ -85,8 +85,8 @@
 	return r
 }
 
-// StatusVerdict is the verdict of a whole answer: an error status doesn't say how far
-// the upstream got.
+// StatusVerdict returns the verdict of a complete response. An error status doesn't say how far the
+// upstream got.
 func StatusVerdict(status int) verdict.Verdict {
 	if status < http.StatusBadRequest {
 		return verdict.Ran
--- a/pkg/dispatch/reader_test.go
+++ b/pkg/dispatch/reader_test.go
@@ -11,7 +11,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// readAll gives the raw events of src and the error that ended it.
+// readAll returns the raw events of src and the error that ended it.
 func readAll(src io.Reader, max int) (events [][]byte, err error) {
 	r := newEventReader(src, max)
 	defer r.release()
@@ -29,8 +29,8 @@
 	}
 }
 
-// Guards against events over the bound that pass where one read happens to bring them whole.
-func TestTheBoundOfAnEventDoesntDependOnReads(t *testing.T) {
+// Guards against events over the size limit that are accepted if a single read returns all of them.
+func TestEventSizeLimitDoesNotDependOnReads(t *testing.T) {
 	const max = 32
 	for size := max - 4; size <= max+4; size++ {
 		for _, end := range []string{"\n", "\r\n", "\r"} {
@@ -38,9 +38,9 @@
 			text += "data: " + strings.Repeat("b", size-len("data: ")-2*len(end)) + end + end
 			whole, wholeErr := readAll(strings.NewReader(text+"data: c"), max)
 			single, singleErr := readAll(iotest.OneByteReader(strings.NewReader(text+"data: c")), max)
-			checkEqual(t, "end", wholeErr.Error(), singleErr.Error())
+			checkEqual(t, "final error", wholeErr.Error(), singleErr.Error())
 			checkEqual(t, "events", whole, single)
-			checkEqual(t, "the event passes", size <= max, len(whole) == 2)
+			checkEqual(t, "event accepted", size <= max, len(whole) == 2)
 		}
 	}
 }
@@ -54,10 +54,10 @@
 		const max = 512
 		whole, wholeErr := readAll(bytes.NewReader(input), max)
 		single, singleErr := readAll(iotest.OneByteReader(bytes.NewReader(input)), max)
-		checkEqual(t, "end", wholeErr.Error(), singleErr.Error())
+		checkEqual(t, "final error", wholeErr.Error(), singleErr.Error())
 		checkEqual(t, "events", whole, single)
 		for _, raw := range whole {
-			checkEqual(t, "event is of the input", true, bytes.Contains(input, raw))
+			checkEqual(t, "event is part of the input", true, bytes.Contains(input, raw))
 			e, err := parseEvent(raw)
 			if err == nil && e.data != nil && !e.done {
 				completionTokensOf(e.data)
@@ -87,7 +87,7 @@
 	}
 	m.observe(began.Add(time.Second), []byte(`{"usage":{"completion_tokens":38}}`))
 	checkEqual(t, "progress", []wire.Units{16, 32}, slot.progress)
-	checkEqual(t, "first", 50*time.Millisecond, m.timeToFirst())
-	checkEqual(t, "step", time.Millisecond, m.meanInterval())
+	checkEqual(t, "time to first event", 50*time.Millisecond, m.timeToFirst())
+	checkEqual(t, "mean interval", time.Millisecond, m.meanInterval())
 	checkEqual(t, "tokens", 38, m.tokens())
 }
--- a/pkg/dispatch/replay_test.go
+++ b/pkg/dispatch/replay_test.go
@@ -12,8 +12,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// closingUpstream is an upstream that answers a connection's first request and keeps the
-// connection alive, then closes it as soon as it has read the second one.
+// closingUpstream starts an upstream that responds to a connection's first request, keeps the
+// connection alive, and closes it as soon as it has read the second request.
 func closingUpstream(t *testing.T) (url string, requests *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,10 +52,10 @@
 	}
 }
 
-// A kept-alive connection is closed by the upstream just after the next request went
-// out. net/http takes calls without a body, or with an Idempotency-Key, for safe and
-// sends them again by itself: the upstream would see three requests for two calls. It
-// must see two, and the second call must say that it may have run.
+// The upstream closes a kept-alive connection just after the next request is sent. net/http treats
+// requests without a body, or with an Idempotency-Key, as safe and resends them: the upstream would
+// receive three requests for two calls. It must receive two, and the second call's verdict must be
+// may-have-run.
 func TestClosedKeepAliveIsNotReplayed(t *testing.T) {
 	calls := map[string]*Call{
 		"get":                {Method: http.MethodGet},
--- a/pkg/dispatch/result.go
+++ b/pkg/dispatch/result.go
@@ -8,27 +8,29 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// Result says how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Attempt  string
 	Upstream string
 	Verdict  verdict.Verdict
 	Outcome  wire.Outcome
-	// Err is nil when the answer is whole.
+	// Err is nil if the response is complete.
 	Err *verdict.Error
-	// Begun says that the sink got part of the answer, so that it can't become an error answer any more.
+	// Begun says that part of the response was written to the sink, so that an error response can't
+	// replace it.
 	Begun bool
-	// Status, Header and Body are the answer when it wasn't streamed to the sink.
+	// Status, Header and Body are the response if it wasn't streamed to the sink.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Length is the declared length, also of an answer to HEAD; -1 when none was declared.
+	// Length is the declared length, also of a response to HEAD; -1 if none was declared.
 	Length int64
-	// Tokens is what the engine counted, or the number of events when it didn't say.
+	// Tokens is the engine's own count, or the number of events if it reported none.
 	Tokens int
 	Cost   wire.Units
-	// First is the time to the first event, or of the whole call of a plain service;
-	// Step the mean time between events. 0 when not measured.
+	// First is the time to the first event, or the duration of a plain service's call; 0 if not
+	// measured.
 	First time.Duration
-	Step  time.Duration
+	// Step is the mean time between events; 0 if not measured.
+	Step time.Duration
 }
--- a/pkg/dispatch/status_test.go
+++ b/pkg/dispatch/status_test.go
@@ -8,8 +8,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// A status alone doesn't say how far an upstream got. Only its own statement that it
-// refused a request for lack of room makes the attempt not run.
+// A status alone doesn't say how far an upstream got. The verdict is not-run only if the upstream
+// itself says that it refused the request for lack of capacity.
 func TestVerdictOfStatuses(t *testing.T) {
 	cases := []struct {
 		status  int
@@ -45,7 +45,7 @@
 	}
 }
 
-// An engine refuses a request for a stream: the caller gets the engine's own error.
+// An engine refuses a request for a stream: the caller receives the engine's own error response.
 func TestErrorInPlaceOfStream(t *testing.T) {
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		echoAttempt(w, r)
@@ -56,5 +56,5 @@
 	requireComplete(t, r)
 	checkEqual(t, "status", http.StatusBadRequest, r.Status)
 	checkEqual(t, "body", `{"error":{}}`, string(r.Body))
-	checkEqual(t, "begun", 0, sink.begins)
+	checkEqual(t, "calls of Begin", 0, sink.begins)
 }
--- a/pkg/dispatch/stream_test.go
+++ b/pkg/dispatch/stream_test.go
@@ -15,16 +15,17 @@
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) { sendEvents(w, r, text) })
 	r, slot, sink := do(t, up.URL, streamCall(true))
 	requireComplete(t, r)
-	checkEqual(t, "r.Verdict", verdict.Ran, r.Verdict)
-	checkEqual(t, "sink.String", text, sink.String())
-	checkEqual(t, "r.Tokens", 77, r.Tokens)
+	checkEqual(t, "verdict", verdict.Ran, r.Verdict)
+	checkEqual(t, "relayed stream", text, sink.String())
+	checkEqual(t, "tokens", 77, r.Tokens)
 	checkEqual(t, "cost", wire.Units(77), r.Cost)
-	checkEqual(t, "slot.outcome", []wire.Outcome{wire.OutcomeServed}, slot.outcomes)
-	checkEqual(t, "progress told", true, len(slot.progress) > 0)
-	checkEqual(t, "slot.starts", 1, slot.starts)
+	checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeServed}, slot.outcomes)
+	checkEqual(t, "progress reported", true, len(slot.progress) > 0)
+	checkEqual(t, "starts", 1, slot.starts)
 }
 
-// Guards against streams that are taken for broken, as their lines end in CR or the last LF is missing.
+// Guards against streams that are treated as broken because their lines end in CR or the last LF is
+// missing.
 func TestStreamsOfAnyLineEndAreRelayedWhole(t *testing.T) {
 	for _, end := range []string{"\r\n", "\r"} {
 		text := strings.ReplaceAll(eventsText(0, 10)+doneText, "\n", end)
@@ -32,14 +33,14 @@
 			up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) { sendEvents(w, r, sent) })
 			r, _, sink := do(t, up.URL, streamCall(true))
 			requireComplete(t, r)
-			checkEqual(t, "sink.String", sent, sink.String())
+			checkEqual(t, "relayed stream", sent, sink.String())
 		}
 	}
 }
 
-// A caller reads a streamed answer when the connection between router and engine
-// breaks in the middle of an event. The engine goes on and repeats some events in the
-// resumed part. The caller must see each event once, in order, and the end.
+// The connection between router and engine breaks in the middle of an event. The engine continues and
+// repeats some events in the resumed part. The caller must receive each event once and in order, and
+// the end marker.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -55,12 +56,12 @@
 	})
 	r, _, sink := do(t, up.URL, streamCall(true))
 	requireComplete(t, r)
-	checkEqual(t, "sink.String", eventsText(0, 10)+doneText, sink.String())
-	checkEqual(t, "r.Tokens", 10, r.Tokens)
+	checkEqual(t, "relayed stream", eventsText(0, 10)+doneText, sink.String())
+	checkEqual(t, "tokens", 10, r.Tokens)
 }
 
-// A stream breaks in the middle and its upstream can't resume: the attempt must end as
-// may-have-run with what was sent marked as begun, so that the caller is cut off.
+// A stream breaks in the middle and its upstream can't resume it. The attempt must end as
+// may-have-run and report that the response has started, so that the caller's connection is aborted.
 func TestBrokenStreamWithoutResume(t *testing.T) {
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		sendEvents(w, r, eventsText(0, 5))
@@ -68,14 +69,14 @@
 	})
 	r, slot, sink := do(t, up.URL, streamCall(false))
 	checkEqual(t, "failed", true, r.Err != nil)
-	checkEqual(t, "begun", true, r.Begun)
-	checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-	checkEqual(t, "sink.String", eventsText(0, 5), sink.String())
-	checkEqual(t, "slot.outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
+	checkEqual(t, "response started", true, r.Begun)
+	checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
+	checkEqual(t, "relayed stream", eventsText(0, 5), sink.String())
+	checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
 }
 
-// An engine crashes under a request and is back within the resume's pauses, with no
-// memory of the attempt. It must count as having died with that request.
+// An engine crashes during a request and restarts within the resume backoff, without any state of the
+// attempt. The outcome must be that the engine died during that request.
 func TestResumeAtRestartedEngine(t *testing.T) {
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -86,12 +87,12 @@
 		w.WriteHeader(http.StatusNotFound)
 	})
 	r, _, _ := do(t, up.URL, streamCall(true))
-	checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-	checkEqual(t, "r.Outcome", wire.OutcomeDied, r.Outcome)
+	checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
+	checkEqual(t, "outcome", wire.OutcomeDied, r.Outcome)
 }
 
-// The caller goes away in the middle of a stream. The engine would go on producing for
-// nobody, so the attempt must be cancelled there before its slot is given back.
+// The caller disconnects in the middle of a stream. The engine would continue to generate, so the
+// attempt must be canceled there before its slot is released.
 func TestCallerGoneCancels(t *testing.T) {
 	cancelled := make(chan string, 1)
 	posted := make(chan string, 1)
@@ -109,7 +110,7 @@
 	defer d.Close()
 	slot := &fakeSlot{url: up.URL}
 	r := d.Do(context.Background(), slot, streamCall(true), &fakeSink{failAt: 2})
-	checkEqual(t, "r.Outcome", wire.OutcomeCanceled, r.Outcome)
-	checkEqual(t, "r.Verdict", verdict.MayHaveRun, r.Verdict)
-	checkEqual(t, "cancelled attempt", <-posted, <-cancelled)
+	checkEqual(t, "outcome", wire.OutcomeCanceled, r.Outcome)
+	checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
+	checkEqual(t, "canceled attempt", <-posted, <-cancelled)
 }
--- a/pkg/dispatch/transport.go
+++ b/pkg/dispatch/transport.go
@@ -17,8 +17,8 @@
 	connBufferSize     = 4 << 10
 )
 
-// newTransport makes a transport for HTTP/1.1 that keeps connections alive, follows
-// no proxy of the environment and never decompresses.
+// newTransport returns an HTTP/1.1 transport that keeps connections alive, ignores proxy settings of
+// the environment and doesn't decompress.
 func newTransport() *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
--- a/pkg/dispatch/unsent_test.go
+++ b/pkg/dispatch/unsent_test.go
@@ -11,8 +11,8 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// An upstream's process is gone and nothing listens at its address. No byte can have
-// left, so the caller may be told so and the call may go to another upstream.
+// Nothing listens at an upstream's address. No byte of the request can have been sent, so the verdict
+// is not-run and the call may go to another upstream.
 func TestUnreachableUpstreamIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,10 +29,10 @@
 	}
 }
 
-// A router is paused between the grant and the send; meanwhile the grant lapses and
-// its slot goes to another request. When the router goes on it must send nothing, on
-// a fresh connection as on a kept-alive one.
-func TestLapsedGrantSendsNothing(t *testing.T) {
+// A router is paused between the grant and the send; meanwhile the grant expires and its slot is
+// granted to another request. When the router continues it must send nothing, neither on a new
+// connection nor on a kept-alive one.
+func TestExpiredGrantSendsNothing(t *testing.T) {
 	var requests atomic.Int32
 	up := newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
 		requests.Add(1)
@@ -51,14 +51,13 @@
 	}
 }
 
-// The caller goes away while its request waits for a connection. The transport gives
-// up, but its write loop may still be about to write: after the verdict is made no byte
-// may pass.
+// The caller disconnects while its request waits for a connection. The transport returns an error, but
+// its write loop may still be about to write: no byte may be sent after the verdict.
 func TestSealedGatePassesNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	g := &gate{start: func() bool { t.Error("started after the seal"); return true }}
+	g := &gate{start: func() bool { t.Error("start was called after seal"); return true }}
 	c := &conn{Conn: near}
 	c.setGate(g)
 	checkEqual(t, "state", gateSealed, g.seal())
@@ -66,14 +65,14 @@
 	checkEqual(t, "error", errSealed.Error(), err.Error())
 }
 
-// The transport sends a request on one connection and, when that fails, takes a second
-// one for the same attempt. The second must stay silent.
+// The transport sends a request on one connection and, if that fails, uses a second one for the same
+// attempt. Nothing may be sent on the second.
 func TestGatePassesOneConnectionOnly(t *testing.T) {
 	starts := 0
 	g := &gate{start: func() bool { starts++; return true }}
 	first, second := new(conn), new(conn)
 	checkEqual(t, "first write", nil, g.admitWrite(first))
-	checkEqual(t, "more of it", nil, g.admitWrite(first))
+	checkEqual(t, "next write on the same connection", nil, g.admitWrite(first))
 	checkEqual(t, "other connection refused", true, g.admitWrite(second) != nil)
 	checkEqual(t, "starts", 1, starts)
 	checkEqual(t, "state", gateOpen, g.seal())
@@ -91,9 +90,8 @@
 	checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeUnused}, slot.outcomes)
 }
 
-// A connection is dropped for a wrong answer when it is back in the pool already. The
-// attempt that takes it next must meet that before its first byte, or an innocent call
-// would end as may-have-run.
+// A connection is dropped for a response to another attempt when it is already back in the pool. The
+// next attempt on it must fail before its first byte, or an unrelated call would end as may-have-run.
 func TestDroppedConnectionTakesNoByte(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
--- a/pkg/dispatch/usage.go
+++ b/pkg/dispatch/usage.go
@@ -4,8 +4,8 @@
 
 var completionTokensKey = []byte(`"completion_tokens":`)
 
-// completionTokensOf finds usage.completion_tokens in valid JSON without allocating. Within a
-// string the quotes would be escaped, so text of the answer can't be taken for it.
+// completionTokensOf finds usage.completion_tokens in valid JSON without allocating. Quotes
+// within a string are escaped, so generated text can't be mistaken for the key.
 func completionTokensOf(data []byte) (int, bool) {
 	i := bytes.LastIndex(data, completionTokensKey)
 	if i < 0 {
