--- a/pkg/dispatch/attempt.go
+++ b/pkg/dispatch/attempt.go
@@ -128,13 +128,13 @@
 		a.cancel()
 	}
 	return Result{
-		Verdict: verdict.MayHaveRun,
-		Outcome: outcomeOf(err),
-		Err:     errorOf(err, verdict.MayHaveRun),
-		Tokens:  a.meter.tokens(),
-		Cost:    a.cost(a.meter.tokens()),
-		First:   a.meter.timeToFirst(),
-		Step:    a.meter.meanInterval(),
+		Verdict:       verdict.MayHaveRun,
+		Outcome:       outcomeOf(err),
+		Err:           errorOf(err, verdict.MayHaveRun),
+		Tokens:        a.meter.tokens(),
+		Cost:          a.cost(a.meter.tokens()),
+		TimeToFirst:   a.meter.timeToFirst(),
+		EventInterval: a.meter.meanInterval(),
 	}
 }
 
--- a/pkg/dispatch/call.go
+++ b/pkg/dispatch/call.go
@@ -21,14 +21,14 @@
 	Model bool
 	// Stream asks for server-sent events.
 	Stream bool
-	// Resumes reports whether the upstream can resume a broken stream; nil means that none can.
-	Resumes func(upstream string) bool
+	// CanResume reports whether the upstream can resume a broken stream; nil means that none can.
+	CanResume func(upstream string) bool
 	// Units is the cost of a call of a plain service.
 	Units wire.Units
-	// Gap, if not nil, is called with the time between two events of a stream.
-	Gap func(time.Duration)
+	// OnEventGap, if not nil, is called with the time between two events of a stream.
+	OnEventGap func(time.Duration)
 }
 
 func (c *Call) resumes(upstream string) bool {
-	return c.Resumes != nil && c.Resumes(upstream)
+	return c.CanResume != nil && c.CanResume(upstream)
 }
--- a/pkg/dispatch/cancel.go
+++ b/pkg/dispatch/cancel.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.WithoutCancel(a.ctx), a.d.limits.Cancel)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(a.ctx), a.d.limits.CancelTimeout)
 	defer stop()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: new(gate).attach})
 	req := (&http.Request{Method: http.MethodDelete, URL: target, Header: http.Header{HeaderAttempt: {a.id}}}).WithContext(ctx)
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -28,9 +28,9 @@
 func (d *Dispatcher) Do(ctx context.Context, slot sched.Slot, call *Call, sink Sink) Result {
 	a := &attempt{d: d, ctx: ctx, slot: slot, call: call, sink: sink, id: uuid.NewString()}
 	a.gate = &gate{start: slot.Start}
-	a.meter = meter{slot: slot, onGap: call.Gap}
+	a.meter = meter{slot: slot, onGap: call.OnEventGap}
 	r := a.run()
-	r.Attempt, r.Upstream, r.Begun = a.id, slot.Upstream(), a.sinkBegun
-	slot.Done(r.Outcome, r.Cost, r.First, r.Step)
+	r.Attempt, r.Upstream, r.ResponseStarted = a.id, slot.Upstream(), a.sinkBegun
+	slot.Done(r.Outcome, r.Cost, r.TimeToFirst, r.EventInterval)
 	return r
 }
--- a/pkg/dispatch/fake_test.go
+++ b/pkg/dispatch/fake_test.go
@@ -99,14 +99,14 @@
 
 func testLimits() Limits {
 	l := DefaultLimits()
-	l.Backoff = time.Millisecond
+	l.ResumeBackoff = time.Millisecond
 	return l
 }
 
 func streamCall(resumes bool) *Call {
 	return &Call{
 		Method: http.MethodPost, Path: "/v1/completions", Header: http.Header{}, Body: []byte(`{}`),
-		Model: true, Stream: true, Resumes: func(string) bool { return resumes },
+		Model: true, Stream: true, CanResume: func(string) bool { return resumes },
 	}
 }
 
--- a/pkg/dispatch/garbage_test.go
+++ b/pkg/dispatch/garbage_test.go
@@ -94,7 +94,7 @@
 
 func smallLimits() Limits {
 	l := testLimits()
-	l.MaxAnswer, l.MaxEvent, l.MaxStream = 1024, 1024, 8192
+	l.MaxResponse, l.MaxEvent, l.MaxStream = 1024, 1024, 8192
 	return l
 }
 
@@ -143,7 +143,7 @@
 				<-r.Context().Done()
 			})
 			l := testLimits()
-			l.Hang, l.Answer = 30*time.Millisecond, 30*time.Millisecond
+			l.EventTimeout, l.ResponseTimeout = 30*time.Millisecond, 30*time.Millisecond
 			d := New(l)
 			defer d.Close()
 			r := d.Do(t.Context(), &fakeSlot{url: up.URL}, call, new(fakeSink))
--- a/pkg/dispatch/plain.go
+++ b/pkg/dispatch/plain.go
@@ -20,7 +20,7 @@
 func (a *attempt) plain() Result {
 	ctx, stop := context.WithCancelCause(a.ctx)
 	defer stop(nil)
-	timer := time.AfterFunc(a.d.limits.Answer, func() { stop(errTimeout) })
+	timer := time.AfterFunc(a.d.limits.ResponseTimeout, func() { stop(errTimeout) })
 	defer timer.Stop()
 	resp, err := a.send(ctx)
 	if err != nil {
@@ -76,10 +76,10 @@
 	if a.call.Model {
 		r.Tokens, _ = completionTokensOf(body)
 		if r.Tokens > 0 {
-			r.Step = elapsed / time.Duration(r.Tokens)
+			r.EventInterval = elapsed / time.Duration(r.Tokens)
 		}
 	} else {
-		r.First = elapsed
+		r.TimeToFirst = elapsed
 	}
 	r.Cost = a.cost(r.Tokens)
 	return r
@@ -98,7 +98,7 @@
 	if a.call.Method == http.MethodHead || resp.Body == http.NoBody {
 		return nil, nil
 	}
-	limit := a.d.limits.MaxAnswer
+	limit := a.d.limits.MaxResponse
 	if resp.ContentLength > limit {
 		return nil, errTooLarge
 	}
--- a/pkg/dispatch/result.go
+++ b/pkg/dispatch/result.go
@@ -16,9 +16,9 @@
 	Outcome  wire.Outcome
 	// Err is nil if the response is complete.
 	Err *verdict.Error
-	// Begun says that part of the response was written to the sink, so that an error response can't
-	// replace it.
-	Begun bool
+	// ResponseStarted says that part of the response was written to the sink, so that an error
+	// response can't replace it.
+	ResponseStarted bool
 	// Status, Header and Body are the response if it wasn't streamed to the sink.
 	Status int
 	Header http.Header
@@ -28,9 +28,9 @@
 	// Tokens is the engine's own count, or the number of events if it reported none.
 	Tokens int
 	Cost   wire.Units
-	// First is the time to the first event, or the duration of a plain service's call; 0 if not
+	// TimeToFirst is the time to the first event, or the duration of a plain service's call; 0 if not
 	// measured.
-	First time.Duration
-	// Step is the mean time between events; 0 if not measured.
-	Step time.Duration
+	TimeToFirst time.Duration
+	// EventInterval is the mean time between events; 0 if not measured.
+	EventInterval time.Duration
 }
--- a/pkg/dispatch/resume.go
+++ b/pkg/dispatch/resume.go
@@ -20,8 +20,8 @@
 
 // resume continues from the first missing event, a limited number of times.
 func (a *attempt) resume(err error) error {
-	pause := a.d.limits.Backoff
-	for range a.d.limits.Resumes {
+	pause := a.d.limits.ResumeBackoff
+	for range a.d.limits.MaxResumes {
 		if !a.wait(pause) {
 			return errCallerGone
 		}
--- a/pkg/dispatch/source.go
+++ b/pkg/dispatch/source.go
@@ -21,7 +21,7 @@
 }
 
 func (a *attempt) newSource() *source {
-	s := &source{caller: a.ctx, timeout: a.d.limits.Hang}
+	s := &source{caller: a.ctx, timeout: a.d.limits.EventTimeout}
 	s.ctx, s.stop = context.WithCancelCause(a.ctx)
 	s.timer = time.AfterFunc(s.timeout, func() { s.stop(errTimeout) })
 	return s
--- a/pkg/dispatch/stream.go
+++ b/pkg/dispatch/stream.go
@@ -115,12 +115,12 @@
 func (a *attempt) streamResult() Result {
 	tokens := a.meter.tokens()
 	return Result{
-		Verdict: verdict.Ran,
-		Outcome: wire.OutcomeServed,
-		Status:  http.StatusOK,
-		Tokens:  tokens,
-		Cost:    a.cost(tokens),
-		First:   a.meter.timeToFirst(),
-		Step:    a.meter.meanInterval(),
+		Verdict:       verdict.Ran,
+		Outcome:       wire.OutcomeServed,
+		Status:        http.StatusOK,
+		Tokens:        tokens,
+		Cost:          a.cost(tokens),
+		TimeToFirst:   a.meter.timeToFirst(),
+		EventInterval: a.meter.meanInterval(),
 	}
 }
--- a/pkg/dispatch/stream_test.go
+++ b/pkg/dispatch/stream_test.go
@@ -69,7 +69,7 @@
 	})
 	r, slot, sink := do(t, up.URL, streamCall(false))
 	checkEqual(t, "failed", true, r.Err != nil)
-	checkEqual(t, "response started", true, r.Begun)
+	checkEqual(t, "response started", true, r.ResponseStarted)
 	checkEqual(t, "verdict", verdict.MayHaveRun, r.Verdict)
 	checkEqual(t, "relayed stream", eventsText(0, 5), sink.String())
 	checkEqual(t, "outcome", []wire.Outcome{wire.OutcomeDied}, slot.outcomes)
--- a/pkg/edge/model_handler.go
+++ b/pkg/edge/model_handler.go
@@ -38,14 +38,14 @@
 	q.prefix = prefixHash(in.prompt)
 	q.content = contentHash(route.Pool, q.r.Method, q.r.URL.Path, q.body)
 	q.call = dispatch.Call{
-		Method:  http.MethodPost,
-		Path:    q.r.URL.Path,
-		Header:  http.Header{"Content-Type": {"application/json"}},
-		Body:    q.body,
-		Model:   true,
-		Stream:  in.stream,
-		Resumes: q.catalog.Resumes,
-		Gap:     q.gap,
+		Method:     http.MethodPost,
+		Path:       q.r.URL.Path,
+		Header:     http.Header{"Content-Type": {"application/json"}},
+		Body:       q.body,
+		Model:      true,
+		Stream:     in.stream,
+		CanResume:  q.catalog.Resumes,
+		OnEventGap: q.gap,
 	}
 	return nil
 }
--- a/pkg/edge/run.go
+++ b/pkg/edge/run.go
@@ -106,7 +106,7 @@
 
 // mayRetry allows another attempt only when the last one certainly didn't run.
 func (q *request) mayRetry(res dispatch.Result) bool {
-	if res.Err == nil || res.Verdict != verdict.NotRun || res.Begun {
+	if res.Err == nil || res.Verdict != verdict.NotRun || res.ResponseStarted {
 		return false
 	}
 	if q.r.Context().Err() != nil || time.Since(q.received) >= q.deadline {
@@ -150,12 +150,12 @@
 func (q *request) answer() {
 	res := &q.result
 	switch {
-	case res.Err != nil && res.Begun:
+	case res.Err != nil && res.ResponseStarted:
 		q.edge.Observer.Refused(q.org.Name, q.class, res.Err.Code)
 		breakOff(q.r)
 	case res.Err != nil:
 		q.refuse(res.Err)
-	case !res.Begun:
+	case !res.ResponseStarted:
 		q.passOn()
 	}
 }
