--- a/pkg/delta/delta.go
+++ b/pkg/delta/delta.go
@@ -10,10 +10,10 @@
 const (
 	// MaxDocument bounds a document, in bytes.
 	MaxDocument = 8 << 20
-	// leastWindow is the smallest window of the codec, in bytes.
-	leastWindow = 16 << 10
-	// baseID names the base in the frame.
-	baseID = 1
+	// minWindow is the smallest window of the codec, in bytes.
+	minWindow = 16 << 10
+	// dictionaryID names the base in the frame.
+	dictionaryID = 1
 )
 
 // ErrTooLarge says that a document is over MaxDocument.
@@ -27,7 +27,7 @@
 	options := []zstd.EOption{zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(window(len(document) + len(base)))}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	enc, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -38,14 +38,14 @@
 }
 
 // window is the smallest power of two that holds n bytes.
-func window(n int) int { return max(leastWindow, min(MaxDocument, 1<<bits.Len(uint(n)))) }
+func window(n int) int { return max(minWindow, min(MaxDocument, 1<<bits.Len(uint(n)))) }
 
 // Unpack gives the document that was packed for a reader of base. It never inflates past
 // MaxDocument.
 func Unpack(packed, base []byte) ([]byte, error) {
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxDocument)}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	dec, err := zstd.NewReader(nil, options...)
 	if err != nil {
--- a/pkg/delta/delta_test.go
+++ b/pkg/delta/delta_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// noise is n bytes without any pattern.
-func noise(seed uint64, n int) []byte {
+// randomBytes is n bytes without any pattern.
+func randomBytes(seed uint64, n int) []byte {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	b := make([]byte, n)
 	for i := range b {
@@ -20,7 +20,7 @@
 	return b
 }
 
-func TestWhatIsPackedComesBack(t *testing.T) {
+func TestUnpackRestoresWhatWasPacked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOf(rapid.Byte()).Draw(t, "base")
 		document := rapid.SliceOf(rapid.Byte()).Draw(t, "document")
@@ -36,10 +36,10 @@
 }
 
 // Guards against bytes that grow with the document where little has changed.
-func TestAChangeTakesBytesForWhatHasChanged(t *testing.T) {
+func TestDeltaSizeFollowsTheChange(t *testing.T) {
 	for _, size := range []int{20 << 10, 300 << 10} {
-		base := noise(1, size)
-		document := append(bytes.Clone(base[:size/2]), noise(2, 100)...)
+		base := randomBytes(1, size)
+		document := append(bytes.Clone(base[:size/2]), randomBytes(2, 100)...)
 		document = append(document, base[size/2+50:]...)
 		packed, err := Pack(document, base)
 		require.NoError(t, err)
@@ -51,11 +51,11 @@
 }
 
 // Guards against a document that is put together with another base than it was packed for.
-func TestAnotherBaseIsNoticed(t *testing.T) {
-	base := noise(1, 10<<10)
+func TestUnpackWithAnotherBaseFails(t *testing.T) {
+	base := randomBytes(1, 10<<10)
 	packed, err := Pack(append(bytes.Clone(base), 1), base)
 	require.NoError(t, err)
-	for _, other := range [][]byte{nil, noise(2, 10<<10), base[1:]} {
+	for _, other := range [][]byte{nil, randomBytes(2, 10<<10), base[1:]} {
 		_, err = Unpack(packed, other)
 		require.Error(t, err)
 	}
@@ -72,7 +72,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	base := noise(1, 100)
+	base := randomBytes(1, 100)
 	packed, err := Pack(append(bytes.Clone(base), 1), base)
 	require.NoError(f, err)
 	f.Add(packed, base)
--- a/pkg/gatewayd/catchup.go
+++ b/pkg/gatewayd/catchup.go
@@ -15,149 +15,149 @@
 )
 
 const (
-	// reportsFirst is how long reports and the store are waited for before a peer is asked:
+	// reportWait is how long reports and the store are waited for before a peer is asked:
 	// usually they bring what is new.
-	reportsFirst = 300 * time.Millisecond
-	// catchUpTimeout is the time after which another peer is asked as well, askTimeout bounds
-	// one question and mostAsked the peers that are asked at once.
-	catchUpTimeout = 400 * time.Millisecond
-	askTimeout     = 5 * time.Second
-	mostAsked      = 3
+	reportWait = 300 * time.Millisecond
+	// hedgeDelay is the time after which another peer is asked as well, requestTimeout bounds one
+	// request and maxInFlight the requests in flight.
+	hedgeDelay     = 400 * time.Millisecond
+	requestTimeout = 5 * time.Second
+	maxInFlight    = 3
 )
 
 // Catalog gives another router what it lacks.
-func (t *telling) Catalog(ask fleet.CatalogRequest) fleet.CatalogUpdate {
-	var given fleet.CatalogUpdate
-	if table := t.catalog.Table(); table != nil && table.Config.Version > ask.Config {
-		t.giveConfig(&given, table.Config, ask)
+func (ls *localState) Catalog(request fleet.CatalogRequest) fleet.CatalogUpdate {
+	var update fleet.CatalogUpdate
+	if table := ls.catalog.Table(); table != nil && table.Config.Version > request.Config {
+		ls.addConfig(&update, table.Config, request)
 	}
-	set, rev, since := t.catalog.List()
+	set, rev, since := ls.catalog.List()
 	switch {
-	case int64(rev) <= ask.Instances:
-	case t.catalog.Same(catalog.Revision(ask.Instances)):
-		given.Revision, given.Same = int64(rev), true
+	case int64(rev) <= request.Instances:
+	case ls.catalog.Same(catalog.Revision(request.Instances)):
+		update.Revision, update.Same = int64(rev), true
 	default:
-		given.Revision = int64(rev)
-		t.giveList(&given, set, int64(since), ask.Packed)
+		update.Revision = int64(rev)
+		ls.addInstances(&update, set, int64(since), request.Packed)
 	}
-	return given
+	return update
 }
 
-func (t *telling) giveConfig(given *fleet.CatalogUpdate, cfg *routing.Config, ask fleet.CatalogRequest) {
-	if !ask.Packed {
-		given.PlainConfig = cfg
+func (ls *localState) addConfig(update *fleet.CatalogUpdate, cfg *routing.Config, request fleet.CatalogRequest) {
+	if !request.Packed {
+		update.PlainConfig = cfg
 		return
 	}
 	var err error
-	if given.Config, given.Base, err = t.documents.pack(cfg, ask.Config, ask.Digest); err != nil {
-		t.untold(err)
+	if update.Config, update.Base, err = ls.documents.pack(cfg, request.Config, request.Digest); err != nil {
+		ls.logCodecError(err)
 	}
 }
 
-// giveList gives the list that has been the same since a revision.
-func (t *telling) giveList(given *fleet.CatalogUpdate, set *upstream.Set, since int64, packed bool) {
+// addInstances gives the list that has been the same since a revision.
+func (ls *localState) addInstances(update *fleet.CatalogUpdate, set *upstream.Set, since int64, packed bool) {
 	if !packed {
-		given.PlainInstances = set.List()
+		update.PlainInstances = set.List()
 		return
 	}
-	list, err := t.documents.packList(set, since)
+	list, err := ls.documents.packList(set, since)
 	if err != nil {
-		t.untold(err)
-		given.Revision = 0
+		ls.logCodecError(err)
+		update.Revision = 0
 		return
 	}
-	given.Instances = list
+	update.Instances = list
 }
 
-// untold logs that something can't be told to peers.
-func (t *telling) untold(err error) {
-	t.log.WithError(err).WithField("event", "catalog_unpacked").Error("catalog can't be given to peers or read")
+// logCodecError logs that something can't be told to peers.
+func (ls *localState) logCodecError(err error) {
+	ls.log.WithError(err).WithField("event", "catalog_unpacked").Error("catalog can't be given to peers or read")
 }
 
 // ApplyUpdate takes what a peer gave.
-func (t *telling) ApplyUpdate(peer fleet.Member, given *fleet.CatalogUpdate, asOf time.Time) {
-	source := "peer " + peer.Name
-	if given.PlainConfig != nil {
-		t.catalog.Adopt(given.PlainConfig, source)
+func (ls *localState) ApplyUpdate(from fleet.Member, update *fleet.CatalogUpdate, asOf time.Time) {
+	source := "peer " + from.Name
+	if update.PlainConfig != nil {
+		ls.catalog.Adopt(update.PlainConfig, source)
 	}
-	if len(given.Config) > 0 {
-		cfg, err := t.documents.unpack(given.Config, given.Base)
+	if len(update.Config) > 0 {
+		cfg, err := ls.documents.unpack(update.Config, update.Base)
 		if err != nil {
-			t.untold(err)
+			ls.logCodecError(err)
 		} else {
-			t.catalog.Adopt(cfg, source)
+			ls.catalog.Adopt(cfg, source)
 		}
 	}
 	switch {
-	case given.Same:
-		t.catalog.Confirm(catalog.Revision(given.Revision), asOf)
-	case given.Revision > 0 && len(given.Instances) == 0:
-		t.catalog.Replace(given.PlainInstances, catalog.Revision(given.Revision), asOf, source)
-	case given.Revision > 0:
-		list, err := unpackList(given.Instances)
+	case update.Same:
+		ls.catalog.Confirm(catalog.Revision(update.Revision), asOf)
+	case update.Revision > 0 && len(update.Instances) == 0:
+		ls.catalog.Replace(update.PlainInstances, catalog.Revision(update.Revision), asOf, source)
+	case update.Revision > 0:
+		list, err := unpackList(update.Instances)
 		if err != nil {
-			t.untold(err)
+			ls.logCodecError(err)
 			return
 		}
-		t.catalog.Replace(list, catalog.Revision(given.Revision), asOf, source)
+		ls.catalog.Replace(list, catalog.Revision(update.Revision), asOf, source)
 	}
 }
 
 // catchUp asks peers for what reports don't bring, until ctx ends.
-func (t *telling) catchUp(ctx context.Context, duty *fleet.Exchanger) {
-	var asks sync.WaitGroup
-	defer asks.Wait()
-	asked := make(chan struct{}, mostAsked)
+func (ls *localState) catchUp(ctx context.Context, exchanger *fleet.Exchanger) {
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	inFlight := make(chan struct{}, maxInFlight)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-t.behind:
-			waiting.For(ctx, reportsFirst)
-			if !t.lacks(n.config, n.instances) {
+		case newer := <-ls.newerPeers:
+			waiting.For(ctx, reportWait)
+			if !ls.lacks(newer.configVersion, newer.listRevision) {
 				continue
 			}
 			select {
-			case asked <- struct{}{}:
+			case inFlight <- struct{}{}:
 				done := make(chan struct{})
-				asks.Go(func() {
-					defer func() { close(done); <-asked }()
-					t.askPeer(ctx, duty, n)
+				requests.Go(func() {
+					defer func() { close(done); <-inFlight }()
+					ls.requestUpdate(ctx, exchanger, newer)
 				})
-				waiting.Until(ctx, done, catchUpTimeout)
+				waiting.Until(ctx, done, hedgeDelay)
 			default: // their answers are under way
 			}
 		}
 	}
 }
 
-func (t *telling) askPeer(ctx context.Context, duty *fleet.Exchanger, n newer) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (ls *localState) requestUpdate(ctx context.Context, exchanger *fleet.Exchanger, newer newerPeer) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	ask := fleet.CatalogRequest{Config: t.catalog.Version(), Digest: t.digest(), Instances: int64(t.catalog.InstancesRevision())}
-	asked := time.Now()
-	given, err := duty.FetchCatalog(ctx, n.peer.Peers, ask)
-	fields := log.Fields{"event": "caught_up", "peer": n.peer.Name, "config": ask.Config, "peer_config": n.config, "waited_ms": time.Since(asked).Milliseconds()}
+	request := fleet.CatalogRequest{Config: ls.catalog.Version(), Digest: ls.digest(), Instances: int64(ls.catalog.InstancesRevision())}
+	began := time.Now()
+	update, err := exchanger.FetchCatalog(ctx, newer.member.Peers, request)
+	fields := log.Fields{"event": "caught_up", "peer": newer.member.Name, "config": request.Config, "peer_config": newer.configVersion, "waited_ms": time.Since(began).Milliseconds()}
 	if err != nil {
 		fields["event"] = "catch_up_failed"
-		t.log.WithError(err).WithFields(fields).Info("peer gives no catalog")
+		ls.log.WithError(err).WithFields(fields).Info("peer gives no catalog")
 		return
 	}
-	if given.Config != nil || given.PlainConfig != nil {
-		t.log.WithFields(fields).Info("peer gives a configuration")
+	if update.Config != nil || update.PlainConfig != nil {
+		ls.log.WithFields(fields).Info("peer gives a configuration")
 	}
-	t.ApplyUpdate(n.peer, given, n.asOf)
+	ls.ApplyUpdate(newer.member, update, newer.asOf)
 }
 
 // digest is that of the configuration in force; 0 without one.
-func (t *telling) digest() uint64 {
-	table := t.catalog.Table()
+func (ls *localState) digest() uint64 {
+	table := ls.catalog.Table()
 	if table == nil {
 		return 0
 	}
-	own, err := t.documents.of(table.Config)
+	doc, err := ls.documents.get(table.Config)
 	if err != nil {
-		t.untold(err)
+		ls.logCodecError(err)
 	}
-	return own.digest
+	return doc.digest
 }
--- a/pkg/gatewayd/cost_bench_test.go
+++ b/pkg/gatewayd/cost_bench_test.go
@@ -45,20 +45,20 @@
 	}{
 		{"refused/new", true, modeNew, 0, 0},
 		{"refused/kept", true, modeKept, 0, 0},
-		{"refused/crowded", true, modeNew, benchIdle, 0},
-		{"refused/cramped", true, modeNew, benchIdle, benchMemory},
+		{"refused/crowded", true, modeNew, benchIdleConns, 0},
+		{"refused/cramped", true, modeNew, benchIdleConns, benchMemoryMiB},
 		{"served/new", false, modeNew, 0, 0},
 		{"served/kept", false, modeKept, 0, 0},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			crowd := startBenchCrowd(b)
-			p := benchRouter(b, crowd.engine, c.full, c.mem)
-			crowd.send(b, p.faces[0].listen.Addr().String(), modeIdle, c.idle)
-			crowd.send(b, p.faces[0].listen.Addr().String(), c.mode, benchWarmUp)
+			generator := startLoadGenerator(b)
+			p := benchRouter(b, generator.engine, c.full, c.mem)
+			generator.send(b, p.endpoints[0].listener.Addr().String(), modeIdle, c.idle)
+			generator.send(b, p.endpoints[0].listener.Addr().String(), c.mode, benchWarmUp)
 			b.ReportAllocs()
 			b.ResetTimer()
 			before := usage()
-			crowd.send(b, p.faces[0].listen.Addr().String(), c.mode, b.N)
+			generator.send(b, p.endpoints[0].listener.Addr().String(), c.mode, b.N)
 			used := usage()
 			b.ReportMetric(float64(used.cpu-before.cpu)/float64(b.N), "cpu-ns/op")
 			b.ReportMetric(float64(used.user-before.user)/float64(b.N), "user-ns/op")
@@ -67,30 +67,30 @@
 	}
 }
 
-// benchIdle is the number of connections that stay open beside those of requests in a crowd,
+// benchIdleConns is the number of connections that stay open beside those of requests in a crowd,
 // as a small router of the first deployments was seen to hold.
-const benchIdle = 5000
+const benchIdleConns = 5000
 
-// benchMemory is the memory of a host, in MiB, that such a crowd fills: the collector runs
+// benchMemoryMiB is the memory of a host, in MiB, that such a crowd fills: the collector runs
 // most of the time.
-const benchMemory = 140
+const benchMemoryMiB = 140
 
 // benchWarmUp is the number of requests before those that count.
 const benchWarmUp = 200
 
-type spent struct {
+type resourceUsage struct {
 	// cpu is all processor time, user that outside the kernel.
 	cpu    time.Duration
 	user   time.Duration
 	sleeps int64
 }
 
-func usage() spent {
+func usage() resourceUsage {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
 	}
-	return spent{user: time.Duration(u.Utime.Nano()), cpu: time.Duration(u.Utime.Nano() + u.Stime.Nano()), sleeps: u.Nvcsw}
+	return resourceUsage{user: time.Duration(u.Utime.Nano()), cpu: time.Duration(u.Utime.Nano() + u.Stime.Nano()), sleeps: u.Nvcsw}
 }
 
 // benchRouter serves on loopback like one of many routers before engines that all have the
@@ -120,9 +120,9 @@
 	p.catalog.Adopt(benchConfig(), "bench")
 	p.catalog.Replace(benchInstances(engine), 1, time.Now(), "bench")
 	loads, uses := benchLoads(full)
-	p.telling.SetOthers(fleet.Totals{Loads: loads, Uses: uses})
-	go p.serve(p.faces[0])
-	b.Cleanup(func() { p.faces[0].server.Close() })
+	p.local.SetOthers(fleet.Totals{Loads: loads, Uses: uses})
+	go p.serve(p.endpoints[0])
+	b.Cleanup(func() { p.endpoints[0].server.Close() })
 	return p
 }
 
@@ -168,16 +168,16 @@
 	return loads, uses
 }
 
-// benchCrowd is the process with the callers and the engine.
-type benchCrowd struct {
+// loadGenerator is the process with the callers and the engine.
+type loadGenerator struct {
 	in     io.Writer
 	out    *bufio.Reader
 	engine string
 }
 
-func startBenchCrowd(b *testing.B) *benchCrowd {
+func startLoadGenerator(b *testing.B) *loadGenerator {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), crowdVariable+"=1", "GOMAXPROCS=1")
+	cmd.Env = append(os.Environ(), loadGeneratorVariable+"=1", "GOMAXPROCS=1")
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	require.NoError(b, err)
@@ -185,19 +185,19 @@
 	require.NoError(b, err)
 	require.NoError(b, cmd.Start())
 	b.Cleanup(func() { in.Close(); _ = cmd.Wait() }) // ends with its input
-	c := &benchCrowd{in: in, out: bufio.NewReader(out)}
+	c := &loadGenerator{in: in, out: bufio.NewReader(out)}
 	c.engine = c.line(b)
 	return c
 }
 
-func (c *benchCrowd) line(b *testing.B) string {
+func (c *loadGenerator) line(b *testing.B) string {
 	text, err := c.out.ReadString('\n')
 	require.NoError(b, err)
 	return strings.TrimSpace(text)
 }
 
 // send has n requests made, and waits for their ends.
-func (c *benchCrowd) send(b *testing.B, addr, mode string, n int) {
+func (c *loadGenerator) send(b *testing.B, addr, mode string, n int) {
 	_, err := fmt.Fprintln(c.in, addr, mode, n)
 	require.NoError(b, err)
 	require.Equal(b, strconv.Itoa(n), c.line(b), "requests that got an answer")
--- a/pkg/gatewayd/demand.go
+++ b/pkg/gatewayd/demand.go
@@ -16,29 +16,29 @@
 // whose they were. An organisation whose callers all come to this router then seems to ask for
 // little, and to get what it asks.
 type demand struct {
-	// count gives the connections that were let in and those that were turned away so far.
-	count func() (accepted, turnedAway int64)
+	// counts gives the connections that were let in and those that were turned away so far.
+	counts func() (accepted, rejected int64)
 
-	mu               sync.Mutex
-	seenIn, seenAway int64
-	in, away         float64
-	at               time.Time
+	mu                         sync.Mutex
+	lastAccepted, lastRejected int64
+	accepted, rejected         float64
+	updatedAt                  time.Time
 }
 
-// stretch is what callers ask over what is read of it, 1 or more.
-func (d *demand) stretch(now time.Time) float64 {
-	if d == nil || d.count == nil {
+// factor is what callers ask over what is read of it, 1 or more.
+func (d *demand) factor(now time.Time) float64 {
+	if d == nil || d.counts == nil {
 		return 1
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	kept := math.Exp(-max(0, now.Sub(d.at).Seconds()) / demandWindow)
-	in, away := d.count()
-	d.in = d.in*kept + float64(in-d.seenIn)
-	d.away = d.away*kept + float64(away-d.seenAway)
-	d.seenIn, d.seenAway, d.at = in, away, now
-	if d.away <= 0 {
+	decay := math.Exp(-max(0, now.Sub(d.updatedAt).Seconds()) / demandWindow)
+	accepted, rejected := d.counts()
+	d.accepted = d.accepted*decay + float64(accepted-d.lastAccepted)
+	d.rejected = d.rejected*decay + float64(rejected-d.lastRejected)
+	d.lastAccepted, d.lastRejected, d.updatedAt = accepted, rejected, now
+	if d.rejected <= 0 {
 		return 1
 	}
-	return (d.in + d.away) / max(1, d.in)
+	return (d.accepted + d.rejected) / max(1, d.accepted)
 }
--- a/pkg/gatewayd/documents.go
+++ b/pkg/gatewayd/documents.go
@@ -14,9 +14,9 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// keptDocuments is how many versions of the configuration are kept, for peers that have one of
+// maxDocuments is how many versions of the configuration are kept, for peers that have one of
 // them and lack the newest.
-const keptDocuments = 4
+const maxDocuments = 4
 
 // document is a configuration as routers give it to each other.
 type document struct {
@@ -29,43 +29,43 @@
 // documents packs configurations and lists of upstreams for peers.
 type documents struct {
 	mu sync.Mutex
-	// kept are the last versions in force, the newest last.
-	kept []document
+	// versions are the last versions in force, the newest last.
+	versions []document
 	// packed holds the newest document, by the version that its reader has; 0 for none.
 	packed map[int64][]byte
-	// list is the packed list of upstreams that has been the same since listSince.
-	list      []byte
-	listSince int64
+	// packedList is the packed list of upstreams that has been the same since listSince.
+	packedList []byte
+	listSince  int64
 }
 
-// of gives the document of a configuration in force.
-func (d *documents) of(cfg *routing.Config) (document, error) {
+// get returns the document of a configuration in force.
+func (d *documents) get(cfg *routing.Config) (document, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.current(cfg)
+	return d.getLocked(cfg)
 }
 
-func (d *documents) current(cfg *routing.Config) (document, error) {
-	if i := slices.IndexFunc(d.kept, func(one document) bool { return one.version == cfg.Version }); i >= 0 {
-		return d.kept[i], nil
+func (d *documents) getLocked(cfg *routing.Config) (document, error) {
+	if i := slices.IndexFunc(d.versions, func(one document) bool { return one.version == cfg.Version }); i >= 0 {
+		return d.versions[i], nil
 	}
 	plain, err := cbor.Marshal(cfg)
 	if err != nil {
 		return document{}, errors.Annotatef(err, "encode configuration %d", cfg.Version)
 	}
-	return d.keep(cfg.Version, plain), nil
+	return d.add(cfg.Version, plain), nil
 }
 
-// keep keeps a document, and forgets the oldest.
-func (d *documents) keep(version int64, plain []byte) document {
-	one := document{version: version, digest: xxhash.Sum64(plain), plain: plain}
-	d.kept = append(d.kept, one)
-	slices.SortFunc(d.kept, func(a, b document) int { return cmp.Compare(a.version, b.version) })
-	if len(d.kept) > keptDocuments {
-		d.kept = slices.Delete(d.kept, 0, 1)
+// add keeps a document, and forgets the oldest.
+func (d *documents) add(version int64, plain []byte) document {
+	doc := document{version: version, digest: xxhash.Sum64(plain), plain: plain}
+	d.versions = append(d.versions, doc)
+	slices.SortFunc(d.versions, func(a, b document) int { return cmp.Compare(a.version, b.version) })
+	if len(d.versions) > maxDocuments {
+		d.versions = slices.Delete(d.versions, 0, 1)
 	}
 	d.packed = nil
-	return one
+	return doc
 }
 
 // pack gives cfg, which is in force, for a reader that has the document of a version with a
@@ -73,18 +73,18 @@
 func (d *documents) pack(cfg *routing.Config, version int64, digest uint64) (packed []byte, base int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	newest, err := d.current(cfg)
+	newest, err := d.getLocked(cfg)
 	if err != nil {
 		return nil, 0, errors.Trace(err)
 	}
-	var from []byte
-	if i := slices.IndexFunc(d.kept, func(one document) bool { return one.version == version && one.digest == digest }); i >= 0 {
-		from, base = d.kept[i].plain, version
+	var baseDoc []byte
+	if i := slices.IndexFunc(d.versions, func(one document) bool { return one.version == version && one.digest == digest }); i >= 0 {
+		baseDoc, base = d.versions[i].plain, version
 	}
 	if packed = d.packed[base]; packed != nil {
 		return packed, base, nil
 	}
-	if packed, err = delta.Pack(newest.plain, from); err != nil {
+	if packed, err = delta.Pack(newest.plain, baseDoc); err != nil {
 		return nil, 0, errors.Trace(err)
 	}
 	if d.packed == nil {
@@ -100,11 +100,11 @@
 	defer d.mu.Unlock()
 	var from []byte
 	if base != 0 {
-		i := slices.IndexFunc(d.kept, func(one document) bool { return one.version == base })
+		i := slices.IndexFunc(d.versions, func(one document) bool { return one.version == base })
 		if i < 0 {
 			return nil, errors.NotFoundf("configuration %d", base)
 		}
-		from = d.kept[i].plain
+		from = d.versions[i].plain
 	}
 	plain, err := delta.Unpack(packed, from)
 	if err != nil {
@@ -114,8 +114,8 @@
 	if err := cbor.Unmarshal(plain, cfg); err != nil {
 		return nil, errors.Annotate(err, "decode configuration")
 	}
-	if !slices.ContainsFunc(d.kept, func(one document) bool { return one.version == cfg.Version }) {
-		d.keep(cfg.Version, plain)
+	if !slices.ContainsFunc(d.versions, func(one document) bool { return one.version == cfg.Version }) {
+		d.add(cfg.Version, plain)
 	}
 	return cfg, nil
 }
@@ -124,8 +124,8 @@
 func (d *documents) packList(set *upstream.Set, since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.list != nil && d.listSince == since {
-		return d.list, nil
+	if d.packedList != nil && d.listSince == since {
+		return d.packedList, nil
 	}
 	plain, err := cbor.Marshal(set.List())
 	if err != nil {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	d.list, d.listSince = packed, since
+	d.packedList, d.listSince = packed, since
 	return packed, nil
 }
 
--- a/pkg/gatewayd/server.go
+++ b/pkg/gatewayd/endpoint.go
@@ -22,40 +22,40 @@
 	maxHeader = 64 << 10
 )
 
-// face is one address that the process serves.
-type face struct {
-	name   string
-	server *http.Server
-	listen net.Listener
+// endpoint is one address that the process serves.
+type endpoint struct {
+	name     string
+	server   *http.Server
+	listener net.Listener
 }
 
-func newFace(name, addr string, h http.Handler) (*face, error) {
+func listenEndpoint(name, addr string, h http.Handler) (*endpoint, error) {
 	l, err := listen(addr)
 	if err != nil {
 		return nil, errors.Annotatef(err, "listen for %s", name)
 	}
-	return faceOn(name, l, h), nil
+	return newEndpoint(name, l, h), nil
 }
 
-func faceOn(name string, l net.Listener, h http.Handler) *face {
-	return &face{name: name, listen: l, server: &http.Server{
+func newEndpoint(name string, l net.Listener, h http.Handler) *endpoint {
+	return &endpoint{name: name, listener: l, server: &http.Server{
 		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
 	}}
 }
 
-// crowd counts the open connections of a face.
-type crowd struct {
+// connCounter counts the open connections of a face.
+type connCounter struct {
 	open atomic.Int64
 	// limit is the number from which on connections are not kept.
 	limit atomic.Int64
 }
 
 // observe is a server's hook for the states of its connections.
-func (c *crowd) observe(conn net.Conn, s http.ConnState) {
+func (c *connCounter) observe(conn net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateActive:
-		if let, ok := conn.(*admission.Conn); ok {
-			let.Leave()
+		if admitted, ok := conn.(*admission.Conn); ok {
+			admitted.Leave()
 		}
 	case http.StateNew:
 		c.open.Add(1)
@@ -64,10 +64,10 @@
 	}
 }
 
-// full reports whether there are more connections than should be kept.
+// overLimit reports whether there are more connections than should be kept.
 //
 // Guard: callers open a new connection for each retry and keep the old ones. Kept by us
 // as well, thousands of idle ones take the process's descriptors, new callers wait for
 // seconds to be accepted, and their memory is that of hundreds of requests. Answers that
 // say that their connection closes end it without a request crossing the close.
-func (c *crowd) full() bool { return c.open.Load() > c.limit.Load() }
+func (c *connCounter) overLimit() bool { return c.open.Load() > c.limit.Load() }
--- a/pkg/gatewayd/entries.go
+++ b/pkg/gatewayd/entries.go
@@ -16,60 +16,60 @@
 	if len(candidates) == 0 && known > smallFleet {
 		return nil // cut off from a large fleet: others can tell callers more
 	}
-	candidates = append(candidates, fleet.MemberState{Member: p.fleet.Self(), Ready: p.gateway.Ready(), CPUStarved: p.pressure.pressed()})
-	return sample(addresses(calm(strongest(ready(candidates)))))
+	candidates = append(candidates, fleet.MemberState{Member: p.fleet.Self(), Ready: p.gateway.Ready(), CPUStarved: p.cpu.starved()})
+	return sample(addresses(preferUnstarved(strongRouters(onlyReady(candidates)))))
 }
 
-func ready(list []fleet.MemberState) []fleet.MemberState {
+func onlyReady(list []fleet.MemberState) []fleet.MemberState {
 	return slices.DeleteFunc(list, func(e fleet.MemberState) bool { return !e.Ready })
 }
 
-// calm leaves out routers that get too little processor, unless that is most of them.
-func calm(list []fleet.MemberState) []fleet.MemberState {
-	rest := slices.DeleteFunc(slices.Clone(list), func(e fleet.MemberState) bool { return e.CPUStarved })
-	if 2*len(rest) < len(list) {
+// preferUnstarved leaves out routers that get too little processor, unless that is most of them.
+func preferUnstarved(list []fleet.MemberState) []fleet.MemberState {
+	unstarved := slices.DeleteFunc(slices.Clone(list), func(e fleet.MemberState) bool { return e.CPUStarved })
+	if 2*len(unstarved) < len(list) {
 		return list
 	}
-	return rest
+	return unstarved
 }
 
 // Figures of strongest.
 const (
-	// strong is the part of the strongest router's processor from which on a router counts
-	// as strong.
-	strong = 0.5
-	// leastStrong is how many must be named: callers need others when one fails.
-	leastStrong = 8
+	// strongPowerShare is the part of the strongest router's CPU from which on a router counts as
+	// strong.
+	strongPowerShare = 0.5
+	// minStrongRouters is how many must be named: callers need others when one fails.
+	minStrongRouters = 8
 )
 
-// strongest gives the strong routers of a large fleet.
+// strongRouters gives the strong routers of a large fleet.
 //
 // Guard: callers choose among the addresses by chance, and hosts of a large fleet are
 // unequal. The smallest would get as much as those with four times their processor, and
 // fall behind. The strong ones bear all callers; when most of them are pressed, all do.
-func strongest(list []fleet.MemberState) []fleet.MemberState {
+func strongRouters(list []fleet.MemberState) []fleet.MemberState {
 	if len(list) <= smallFleet {
 		return list
 	}
-	most := 0.0
+	maxPower := 0.0
 	for _, e := range list {
-		most = max(most, e.Member.Power)
+		maxPower = max(maxPower, e.Member.Power)
 	}
-	var named []fleet.MemberState
-	rested := 0
+	var strong []fleet.MemberState
+	unstarved := 0
 	for _, e := range list {
-		if e.Member.Power < strong*most {
+		if e.Member.Power < strongPowerShare*maxPower {
 			continue
 		}
-		named = append(named, e)
+		strong = append(strong, e)
 		if !e.CPUStarved {
-			rested++
+			unstarved++
 		}
 	}
-	if rested < leastStrong || 2*rested < len(named) {
+	if unstarved < minStrongRouters || 2*unstarved < len(strong) {
 		return list
 	}
-	return named
+	return strong
 }
 
 func addresses(list []fleet.MemberState) []string {
--- a/pkg/gatewayd/entries_test.go
+++ b/pkg/gatewayd/entries_test.go
@@ -33,14 +33,14 @@
 
 // One router gets too little processor. Callers must not be sent there while others do
 // well; when most are short of it, all must bear their part.
-func TestPressedRoutersAreNoEntries(t *testing.T) {
-	list := []fleet.MemberState{entryOf("a", 1), entryOf("b", 1), entryOf("c", 1)}
+func TestCPUStarvedRoutersAreNotOfferedToCallers(t *testing.T) {
+	list := []fleet.MemberState{memberState("a", 1), memberState("b", 1), memberState("c", 1)}
 	list[1].CPUStarved = true
-	require.Equal(t, []string{"a", "c"}, addresses(calm(list)))
+	require.Equal(t, []string{"a", "c"}, addresses(preferUnstarved(list)))
 	list[0].CPUStarved = true
-	require.Equal(t, []string{"a", "b", "c"}, addresses(calm(list)))
+	require.Equal(t, []string{"a", "b", "c"}, addresses(preferUnstarved(list)))
 	list[2].Ready = false
-	require.Equal(t, []string{"a", "b"}, addresses(ready(list)))
+	require.Equal(t, []string{"a", "b"}, addresses(onlyReady(list)))
 }
 
 // Hosts of a large fleet are unequal. Small ones must not get as much as those with four
@@ -52,35 +52,35 @@
 		if i < 10 {
 			power = 0.8
 		}
-		list = append(list, entryOf(fmt.Sprint(i), power))
+		list = append(list, memberState(fmt.Sprint(i), power))
 	}
-	given := strongest(list)
+	given := strongRouters(list)
 	require.Len(t, given, 10)
 	require.Equal(t, 0.8, given[9].Member.Power)
-	require.Len(t, strongest(list[:smallFleet]), smallFleet, "a small fleet needs all")
-	require.Len(t, strongest(list[5:]), 35, "five are too few")
+	require.Len(t, strongRouters(list[:smallFleet]), smallFleet, "a small fleet needs all")
+	require.Len(t, strongRouters(list[5:]), 35, "five are too few")
 	for i := range 3 {
 		list[i].CPUStarved = true
 	}
-	require.Len(t, strongest(list), 40, "seven are too few")
+	require.Len(t, strongRouters(list), 40, "seven are too few")
 	for i := range list {
 		list[i].Member.Power = 0
 	}
-	require.Len(t, strongest(list), 40, "nothing is known of them")
+	require.Len(t, strongRouters(list), 40, "nothing is known of them")
 }
 
-func entryOf(name string, power float64) fleet.MemberState {
+func memberState(name string, power float64) fleet.MemberState {
 	return fleet.MemberState{Member: fleet.Member{Callers: name, Power: power}, Ready: true}
 }
 
 // Nobody reads the log for a while. The engineer who reads it later must see the gap.
-func TestDroppedLinesAreTold(t *testing.T) {
+func TestDroppedLogLinesAreReported(t *testing.T) {
 	lines, h := int64(0), memory.New()
-	d := drops{count: func() int64 { return lines }, log: &log.Logger{Handler: h, Level: log.InfoLevel}, counter: tally.NoopScope.Counter("x")}
-	d.tell()
+	d := logDrops{count: func() int64 { return lines }, log: &log.Logger{Handler: h, Level: log.InfoLevel}, counter: tally.NoopScope.Counter("x")}
+	d.report()
 	lines = 7
-	d.tell()
-	d.tell()
+	d.report()
+	d.report()
 	require.Len(t, h.Entries, 1)
 	require.EqualValues(t, 7, h.Entries[0].Fields["lines"])
 }
--- a/pkg/gatewayd/fulllink_test.go
+++ b/pkg/gatewayd/fulllink_test.go
@@ -22,42 +22,42 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newLinkWorld(c.routers)
-				defer w.close()
-				w.declare(49)
-				w.play(5 * time.Second)
-				w.requireAdopted(t, c.bound, "free link")
-				w.weakest().host.Crowd(c.queue)
-				w.play(5 * time.Second)
-				w.declare(1)
-				w.requireAdopted(t, c.bound, "one route")
-				w.declare(1350)
-				w.requireAdopted(t, c.bound, "many routes")
+				f := newFleetModel(c.routers)
+				defer f.close()
+				f.publishConfig(49)
+				f.advance(5 * time.Second)
+				f.requireAdopted(t, c.bound, "free link")
+				f.weakest().host.Crowd(c.queue)
+				f.advance(5 * time.Second)
+				f.publishConfig(1)
+				f.requireAdopted(t, c.bound, "one route")
+				f.publishConfig(1350)
+				f.requireAdopted(t, c.bound, "many routes")
 				for range 5 {
-					w.play(700 * time.Millisecond)
-					w.declare(1)
+					f.advance(700 * time.Millisecond)
+					f.publishConfig(1)
 				}
-				w.requireAdopted(t, c.bound, "changes in a series")
-				w.drop(3)
-				w.requireDropped(t, c.bound)
+				f.requireAdopted(t, c.bound, "changes in a series")
+				f.removeUpstream(3)
+				f.requireRemoved(t, c.bound)
 			})
 		})
 	}
 }
 
 // Guards against routers that go by an older configuration, as the store's answers to all but one of them were lost.
-func TestAnyRouterThatTheStoreTellsTellsTheOthers(t *testing.T) {
+func TestAnyRouterPassesOnAConfigurationFromTheStore(t *testing.T) {
 	for _, routers := range []int{6, 18} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newLinkWorld(routers)
-			defer w.close()
-			w.declare(49)
-			w.play(5 * time.Second)
-			next := *w.config
+			f := newFleetModel(routers)
+			defer f.close()
+			f.publishConfig(49)
+			f.advance(5 * time.Second)
+			next := *f.config
 			next.Version++
-			w.weakest().catalog.Adopt(&next, "store")
-			w.play(2 * time.Second)
-			for _, r := range w.routers {
+			f.weakest().catalog.Adopt(&next, "store")
+			f.advance(2 * time.Second)
+			for _, r := range f.routers {
 				require.Equal(t, next.Version, r.catalog.Version(), r.fleet.Self().Name)
 			}
 		})
--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -13,15 +13,15 @@
 	"github.com/flamingowind/flamingowind/pkg/handover"
 )
 
-// facingRouters names the address for connections that other routers pass on.
-const facingRouters = "handover"
+// handoverEndpoint names the address for connections that other routers pass on.
+const handoverEndpoint = "handover"
 
 const (
-	// handoverLate is the lateness from which on new connections are passed on: well before
+	// handoverDelay is the lateness from which on new connections are passed on: well before
 	// callers are sent elsewhere.
-	handoverLate = 30 * time.Millisecond
-	// targetsFor is how long the choice of routers that take connections holds.
-	targetsFor = 50 * time.Millisecond
+	handoverDelay = 30 * time.Millisecond
+	// targetsTTL is how long the choice of routers that take connections holds.
+	targetsTTL = 50 * time.Millisecond
 )
 
 // bindHandover listens for connections that others pass on, and has l pass on those that this
@@ -31,58 +31,58 @@
 	if s.Listen.Handover == "" {
 		return nil
 	}
-	tcp, err := listenFor(s.Listen.Handover, admission.Backlog(s.Limits.LinkMbps))
+	tcp, err := listenBacklog(s.Listen.Handover, admission.Backlog(s.Limits.LinkMbps))
 	if err != nil {
-		return errors.Annotatef(err, "listen for %s", facingRouters)
+		return errors.Annotatef(err, "listen for %s", handoverEndpoint)
 	}
-	taking, err := admission.New(tcp, s.Limits.Cores, gateway.RejectionResponse)
+	inbound, err := admission.New(tcp, s.Limits.Cores, gateway.RejectionResponse)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	face := faceOn(facingRouters, taking, p.gateway)
-	face.server.ConnState = p.crowd.observe
-	face.server.ConnContext = gateway.WithHandover
-	p.faces = append(p.faces, face)
-	targets := &targets{find: p.handoverTargets}
-	p.handover, err = handover.NewRelay(s.Limits.Cores, targets.now, l.Refuse)
+	endpoint := newEndpoint(handoverEndpoint, inbound, p.gateway)
+	endpoint.server.ConnState = p.conns.observe
+	endpoint.server.ConnContext = gateway.WithHandover
+	p.endpoints = append(p.endpoints, endpoint)
+	cache := &targetCache{find: p.handoverTargets}
+	p.handover, err = handover.NewRelay(s.Limits.Cores, cache.get, l.Refuse)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	taking.Over(p.inbound)
-	p.fromCallersOf = append(p.fromCallersOf, taking.Traffic, p.handover.Traffic)
-	p.link.watch("handover", taking.Traffic)
-	p.link.watch("handover", p.handover.Traffic)
-	l.PassOn(p.handover.Take, func() bool { return p.pressure.lateBy() > handoverLate && len(targets.now()) > 0 })
-	p.handed = handedOver{count: p.handover.Counts, open: p.handover.Open, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
+	inbound.Over(p.callerLink)
+	p.callerTraffic = append(p.callerTraffic, inbound.Traffic, p.handover.Traffic)
+	p.linkUsage.watch("handover", inbound.Traffic)
+	p.linkUsage.watch("handover", p.handover.Traffic)
+	l.PassOn(p.handover.Take, func() bool { return p.cpu.delay() > handoverDelay && len(cache.get()) > 0 })
+	p.handoverStats = handoverStats{counts: p.handover.Counts, open: p.handover.Open, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
 	return nil
 }
 
 // handoverTargets gives the routers that take connections: those of the own zone, or others
 // where that has none. One that is late itself takes none, nor one with an older configuration.
 func (p *Process) handoverTargets() []handover.Target {
-	named, _ := p.fleet.RecentlyAlive()
-	var near, far []handover.Target
-	for _, e := range named {
+	members, _ := p.fleet.RecentlyAlive()
+	var sameZone, otherZones []handover.Target
+	for _, e := range members {
 		if !e.Ready || e.CPUStarved || e.Member.Handover == "" || e.Config < p.catalog.Version() {
 			continue
 		}
 		target := handover.Target{Addr: e.Member.Handover, Power: e.Member.Power, Config: e.Config}
 		if e.Member.Zone == p.fleet.Self().Zone {
-			near = append(near, target)
+			sameZone = append(sameZone, target)
 		} else {
-			far = append(far, target)
+			otherZones = append(otherZones, target)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(sameZone) > 0 {
+		return sameZone
 	}
-	return far
+	return otherZones
 }
 
-// targets keeps the choice of routers for a while.
-type targets struct {
-	find func() []handover.Target
-	kept atomic.Pointer[targetList]
+// targetCache keeps the choice of routers for a while.
+type targetCache struct {
+	find   func() []handover.Target
+	cached atomic.Pointer[targetList]
 }
 
 type targetList struct {
@@ -90,36 +90,36 @@
 	list []handover.Target
 }
 
-// now gives the routers that take connections. The list must not be changed.
-func (t *targets) now() []handover.Target {
+// get gives the routers that take connections. The list must not be changed.
+func (t *targetCache) get() []handover.Target {
 	now := time.Now()
-	if kept := t.kept.Load(); kept != nil && now.Sub(kept.at) < targetsFor {
-		return kept.list
+	if cached := t.cached.Load(); cached != nil && now.Sub(cached.at) < targetsTTL {
+		return cached.list
 	}
-	fresh := &targetList{at: now, list: t.find()}
-	t.kept.Store(fresh)
-	return fresh.list
+	list := &targetList{at: now, list: t.find()}
+	t.cached.Store(list)
+	return list.list
 }
 
-// handedOver tells how many connections were passed on to other routers.
-type handedOver struct {
-	count         func() (taken, failed int64)
+// handoverStats tells how many connections were passed on to other routers.
+type handoverStats struct {
+	counts        func() (taken, failed int64)
 	open          func() int64
 	taken, failed int64
 	log           log.Interface
 	counter       tally.Counter
 }
 
-func (h *handedOver) tell() {
-	if h.count == nil {
+func (h *handoverStats) report() {
+	if h.counts == nil {
 		return
 	}
-	taken, failed := h.count()
-	fresh, lost := taken-h.taken, failed-h.failed
-	if fresh+lost == 0 {
+	taken, failed := h.counts()
+	newTaken, newFailed := taken-h.taken, failed-h.failed
+	if newTaken+newFailed == 0 {
 		return
 	}
 	h.taken, h.failed = taken, failed
-	h.counter.Inc(fresh)
-	h.log.WithFields(log.Fields{"event": "connections_handed_over", "connections": fresh, "untaken": lost, "open": h.open()}).Info("connections were passed on to other routers")
+	h.counter.Inc(newTaken)
+	h.log.WithFields(log.Fields{"event": "connections_handed_over", "connections": newTaken, "untaken": newFailed, "open": h.open()}).Info("connections were passed on to other routers")
 }
--- a/pkg/gatewayd/life_test.go
+++ b/pkg/gatewayd/life_test.go
@@ -16,32 +16,32 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// lifeWorld is what one router believes of one upstream that starts again under its ID.
-type lifeWorld struct {
+// lifeModel is what one router believes of one upstream that starts again under its ID.
+type lifeModel struct {
 	catalog *catalog.Catalog
-	telling *telling
+	local   *localState
 	health  *upstream.Health
 }
 
-func newLifeWorld() *lifeWorld {
+func newLifeModel() *lifeModel {
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	c := catalog.New(quiet)
-	return &lifeWorld{catalog: c, health: upstream.NewHealth(), telling: &telling{catalog: c, ledger: placement.NewLoadTracker(), inflows: placement.NewInflows(), paces: pace.NewEstimator(),
-		holdings: placement.NewKVIndex(), shares: placement.NewShares()}}
+	return &lifeModel{catalog: c, health: upstream.NewHealth(), local: &localState{catalog: c, loads: placement.NewLoadTracker(), inflows: placement.NewInflows(), estimator: pace.NewEstimator(),
+		prefixIndex: placement.NewKVIndex(), shares: placement.NewShares()}}
 }
 
-func (w *lifeWorld) present() *upstream.Instance { return w.catalog.Instances().Get("i") }
+func (m *lifeModel) present() *upstream.Instance { return m.catalog.Instances().Get("i") }
 
 // instanceBorn is the upstream in the life that began at born.
 func instanceBorn(born int64) upstream.Instance {
 	return upstream.Instance{ID: "i", Service: "s", Addr: "127.0.0.1:1", State: upstream.Ready, Born: born}
 }
 
-// chain is a prompt's beginning.
-var chain = []placement.Prefix{{Key: 7, Tokens: 100}}
+// promptPrefixes is a prompt's beginning.
+var promptPrefixes = []placement.Prefix{{Key: 7, Tokens: 100}}
 
-// told gives a peer's report of work at a life and of a prompt that it has read.
-func told(in upstream.Instance) (map[fleet.LifeKey]fleet.InstanceLoad, []fleet.CachedPrefix) {
+// reportsOf gives a peer's report of work at a life and of a prompt that it has read.
+func reportsOf(in upstream.Instance) (map[fleet.LifeKey]fleet.InstanceLoad, []fleet.CachedPrefix) {
 	start := in.Life().Start
 	return map[fleet.LifeKey]fleet.InstanceLoad{{Instance: "i", Life: start}: {Instance: "i", Life: start, Running: 3, PrefillTokens: 50}},
 		[]fleet.CachedPrefix{{Key: 7, Instance: "i", Life: start}}
@@ -64,47 +64,47 @@
 // work and prompts read at either life, late or more than once, and this router's own work and
 // failures. Whatever came last, the router must believe of the present life only what was said
 // of it, and the present life is the one of the newest revision.
-func TestBeliefsBelongToTheLifeOfTheNewestRevision(t *testing.T) {
+func TestStateBelongsToTheLifeOfTheNewestRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newLifeWorld()
+		m := newLifeModel()
 		lives := []upstream.Instance{instanceBorn(rapid.Int64Range(1, 5).Draw(t, "first")), instanceBorn(rapid.Int64Range(6, 9).Draw(t, "second"))}
 		if rapid.Bool().Draw(t, "clock went back") {
 			lives[0], lives[1] = lives[1], lives[0]
 		}
 		const restart = 10 // the revision at which the second life is listed
-		newest, reads, loads, failed := int64(0), map[upstream.Life]bool{}, upstream.Life{}, map[upstream.Life]bool{}
+		newest, cached, loaded, failed := int64(0), map[upstream.Life]bool{}, upstream.Life{}, map[upstream.Life]bool{}
 		now := time.Now()
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			of := lives[rapid.IntRange(0, 1).Draw(t, "life")]
 			switch rapid.SampledFrom([]string{"list", "feed", "load", "read", "fail", "use"}).Draw(t, "news") {
 			case "list":
 				rev := rapid.Int64Range(1, 20).Draw(t, "revision")
-				w.catalog.Replace([]upstream.Instance{lives[min(1, rev/restart)]}, catalog.Revision(rev), now, "test")
+				m.catalog.Replace([]upstream.Instance{lives[min(1, rev/restart)]}, catalog.Revision(rev), now, "test")
 				newest = max(newest, rev)
 			case "feed":
 				after := rapid.Int64Range(0, 20).Draw(t, "after")
 				rev := rapid.Int64Range(after, 20).Draw(t, "revision")
-				w.catalog.Apply(changesOf(lives, restart, after, rev), catalog.Revision(after), catalog.Revision(rev), time.Now(), "test")
+				m.catalog.Apply(changesOf(lives, restart, after, rev), catalog.Revision(after), catalog.Revision(rev), time.Now(), "test")
 				if after <= newest && rev >= newest {
 					newest = rev
 				}
 			case "load":
-				l, _ := told(of)
-				w.telling.SetOthers(fleet.Totals{Loads: l})
-				loads = of.Life()
+				l, _ := reportsOf(of)
+				m.local.SetOthers(fleet.Totals{Loads: l})
+				loaded = of.Life()
 			case "read":
-				_, list := told(of)
-				w.telling.AddPrefixes(list)
-				reads[of.Life()] = true
+				_, list := reportsOf(of)
+				m.local.AddPrefixes(list)
+				cached[of.Life()] = true
 			case "fail":
-				w.health.Observe(of.Life(), upstream.Silent, now)
+				m.health.Observe(of.Life(), upstream.Silent, now)
 				failed[of.Life()] = true
 			case "use":
-				w.telling.holdings.RecordUse(of.Life(), chain, now)
-				reads[of.Life()] = true
+				m.local.prefixIndex.RecordUse(of.Life(), promptPrefixes, now)
+				cached[of.Life()] = true
 			}
 		}
-		in := w.present()
+		in := m.present()
 		if newest == 0 {
 			return // nothing is listed yet
 		}
@@ -112,13 +112,13 @@
 			t.Fatalf("at revision %d the present life is %+v, not %+v", newest, *in, want)
 		}
 		life := in.Life()
-		if kept := w.telling.holdings.Lookup(chain, now)[life].Sent > 0; kept != reads[life] {
-			t.Fatalf("keeps the prompt: %v, was told so: %v", kept, reads[life])
+		if hasPrefix := m.local.prefixIndex.Lookup(promptPrefixes, now)[life].Sent > 0; hasPrefix != cached[life] {
+			t.Fatalf("keeps the prompt: %v, was told so: %v", hasPrefix, cached[life])
 		}
-		if running := w.telling.ledger.Load(life).Running; (running == 3) != (loads == life) {
-			t.Fatalf("%d running, last told of %v", running, loads)
+		if running := m.local.loads.Load(life).Running; (running == 3) != (loaded == life) {
+			t.Fatalf("%d running, last told of %v", running, loaded)
 		}
-		if _, usable := w.health.Usable(life, now); usable == failed[life] {
+		if _, usable := m.health.Usable(life, now); usable == failed[life] {
 			t.Fatalf("usable: %v, failed: %v", usable, failed[life])
 		}
 	})
@@ -126,22 +126,22 @@
 
 // Work in progress at the old life ends after the new one has begun, with failures. None of it
 // may change what is counted for the new life, nor be told to others as its load.
-func TestWorkOfTheOldLifeEndsApart(t *testing.T) {
-	w := newLifeWorld()
+func TestWorkOfAnEarlierLifeIsNotCountedForTheNext(t *testing.T) {
+	m := newLifeModel()
 	old, next := instanceBorn(5), instanceBorn(3)
-	w.catalog.Replace([]upstream.Instance{old}, 1, time.Now(), "store")
-	work := w.telling.ledger.Begin(w.present().Life(), placement.Work{PrefillTokens: 10})
-	w.catalog.Apply([]upstream.Change{{Instance: next}}, 1, 2, time.Now(), "store")
-	require.Zero(t, w.telling.ledger.Load(w.present().Life()).Running)
-	later := w.telling.ledger.Begin(w.present().Life(), placement.Work{})
+	m.catalog.Replace([]upstream.Instance{old}, 1, time.Now(), "store")
+	work := m.local.loads.Begin(m.present().Life(), placement.Work{PrefillTokens: 10})
+	m.catalog.Apply([]upstream.Change{{Instance: next}}, 1, 2, time.Now(), "store")
+	require.Zero(t, m.local.loads.Load(m.present().Life()).Running)
+	later := m.local.loads.Begin(m.present().Life(), placement.Work{})
 	work.End()
-	w.health.Observe(old.Life(), upstream.Silent, time.Now())
-	require.Equal(t, 1, w.telling.ledger.Load(next.Life()).Running)
-	_, usable := w.health.Usable(next.Life(), time.Now())
+	m.health.Observe(old.Life(), upstream.Silent, time.Now())
+	require.Equal(t, 1, m.local.loads.Load(next.Life()).Running)
+	_, usable := m.health.Usable(next.Life(), time.Now())
 	require.True(t, usable)
 	var r fleet.Report
-	w.telling.ready, w.telling.pressed = func() bool { return true }, func() bool { return false }
-	w.telling.Describe(&r)
+	m.local.ready, m.local.cpuStarved = func() bool { return true }, func() bool { return false }
+	m.local.Describe(&r)
 	require.Equal(t, []fleet.InstanceLoad{{Instance: "i", Life: 3, Running: 1}}, r.Loads)
 	later.End()
 }
--- a/pkg/gatewayd/listen.go
+++ b/pkg/gatewayd/listen.go
@@ -14,22 +14,22 @@
 
 // Probes of silent connections, those that Go's listeners ask for on their own.
 const (
-	// probeIdle is the silence after which a connection is probed, probeInterval the pause
-	// between two probes and probeCount how many may stay without an answer.
-	probeIdle     = 15 * time.Second
-	probeInterval = 15 * time.Second
-	probeCount    = 9
+	// keepAliveIdle is the silence after which a connection is probed, keepAliveInterval the pause
+	// between two probes and keepAliveCount how many may stay without a response.
+	keepAliveIdle     = 15 * time.Second
+	keepAliveInterval = 15 * time.Second
+	keepAliveCount    = 9
 )
 
-// listenFor opens an address for callers, where at most backlog connections wait to be accepted.
+// listenBacklog opens an address for callers, where at most backlog connections wait to be accepted.
 //
 // The standard library has no option for that number.
-func listenFor(addr string, backlog int) (*net.TCPListener, error) {
-	to, err := netip.ParseAddrPort(addr)
+func listenBacklog(addr string, backlog int) (*net.TCPListener, error) {
+	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	family, at := sockaddr(to)
+	family, sa := sockaddr(addrPort)
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -39,10 +39,10 @@
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return nil, errors.Trace(err)
 	}
-	if err := setProbes(fd); err != nil {
+	if err := setKeepAlive(fd); err != nil {
 		return nil, errors.Trace(err)
 	}
-	if err := unix.Bind(fd, at); err != nil {
+	if err := unix.Bind(fd, sa); err != nil {
 		return nil, errors.Trace(err)
 	}
 	if err := unix.Listen(fd, backlog); err != nil {
@@ -56,7 +56,7 @@
 }
 
 // sockaddr gives an address as the kernel takes it, with its family.
-func sockaddr(addr netip.AddrPort) (family int, at unix.Sockaddr) {
+func sockaddr(addr netip.AddrPort) (family int, sa unix.Sockaddr) {
 	ip, port := addr.Addr().Unmap(), int(addr.Port())
 	if ip.Is4() {
 		return unix.AF_INET, &unix.SockaddrInet4{Port: port, Addr: ip.As4()}
@@ -67,7 +67,7 @@
 // listen opens an address. The options for probes are set on the listener: an accepted
 // connection inherits them, which saves the system calls for each.
 func listen(addr string) (*net.TCPListener, error) {
-	config := net.ListenConfig{KeepAlive: -1, Control: probe}
+	config := net.ListenConfig{KeepAlive: -1, Control: controlKeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -75,22 +75,22 @@
 	return l.(*net.TCPListener), nil
 }
 
-// probe makes the connections of a listener find out that they went silent.
-func probe(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(fd uintptr) { failed = setProbes(int(fd)) })
+// controlKeepAlive makes the connections of a listener find out that they went silent.
+func controlKeepAlive(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
+	err := raw.Control(func(fd uintptr) { optionErr = setKeepAlive(int(fd)) })
 	if err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Trace(failed)
+	return errors.Trace(optionErr)
 }
 
-func setProbes(fd int) error {
+func setKeepAlive(fd int) error {
 	for _, option := range []struct{ level, name, value int }{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(probeIdle.Seconds())},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(probeInterval.Seconds())},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(keepAliveIdle.Seconds())},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(keepAliveInterval.Seconds())},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveCount},
 	} {
 		if err := unix.SetsockoptInt(fd, option.level, option.name, option.value); err != nil {
 			return errors.Trace(err)
--- a/pkg/gatewayd/listen_test.go
+++ b/pkg/gatewayd/listen_test.go
@@ -40,7 +40,7 @@
 func TestConnectionsBeyondTheBacklogAreNotTaken(t *testing.T) {
 	const backlog, callers = 4, 40
 	for _, addr := range []string{"127.0.0.1:0", "[::1]:0"} {
-		l, err := listenFor(addr, backlog)
+		l, err := listenBacklog(addr, backlog)
 		require.NoError(t, err)
 		defer l.Close()
 		taken := 0
@@ -58,7 +58,7 @@
 
 func TestAListenerForCallersNeedsAnAddress(t *testing.T) {
 	for _, addr := range []string{"", "127.0.0.1", "host:1", "192.0.2.1:0"} {
-		_, err := listenFor(addr, 4)
+		_, err := listenBacklog(addr, 4)
 		require.Error(t, err, addr)
 	}
 }
--- /dev/null
+++ b/pkg/gatewayd/localstate.go
@@ -0,0 +1,208 @@
+package gatewayd
+
+import (
+	"math"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/flamingowind/flamingowind/pkg/catalog"
+	"github.com/flamingowind/flamingowind/pkg/fleet"
+	"github.com/flamingowind/flamingowind/pkg/pace"
+	"github.com/flamingowind/flamingowind/pkg/placement"
+	"github.com/flamingowind/flamingowind/pkg/quarantine"
+	"github.com/flamingowind/flamingowind/pkg/upstream"
+	"github.com/flamingowind/flamingowind/pkg/wire"
+)
+
+// localState joins the fleet's reports to the parts that decide.
+type localState struct {
+	catalog     *catalog.Catalog
+	loads       *placement.LoadTracker
+	prefixIndex *placement.KVIndex
+	shares      *placement.Shares
+	inflows     *placement.Inflows
+	estimator   *pace.Estimator
+	quarantine  *quarantine.List
+	// demand is nil where connections aren't counted.
+	demand     *demand
+	ready      func() bool
+	cpuStarved func() bool
+	// documents are what peers are given, and have given.
+	documents documents
+	log       log.Interface
+	// newerPeers takes peers that know more than this router.
+	newerPeers chan newerPeer
+}
+
+// newerPeer is a peer that has a newer configuration or list of upstreams.
+type newerPeer struct {
+	member                      fleet.Member
+	configVersion, listRevision int64
+	// asOf is when the peer's list was current.
+	asOf time.Time
+}
+
+// Describe fills in what a report says of this router's work.
+func (ls *localState) Describe(r *fleet.Report) {
+	r.Ready, r.CPUStarved = ls.ready(), ls.cpuStarved()
+	r.Config, r.Instances = ls.catalog.Version(), int64(ls.catalog.InstancesRevision())
+	r.ConfigDigest, r.ListSince = ls.digest(), int64(ls.catalog.ListSince())
+	r.ListAgeMs = ls.catalog.InstancesAge(time.Now()).Milliseconds()
+	contact := ls.catalog.Contact()
+	r.Store = fleet.NewStoreContact(contact.Since, contact.Until, time.Now())
+	evacuations := ls.catalog.Evacuations()
+	r.Evacuated, r.EvacuatedAt = evacuations.Zones, int64(evacuations.Revision)
+	r.Restored = encodeRestorations(ls.catalog, time.Now())
+	r.Loads = ls.instanceLoads(time.Now())
+	for service, p := range ls.estimator.OwnPauses() {
+		r.Pauses = append(r.Pauses, encodePauses(service, p))
+	}
+	for service, inflow := range ls.inflows.Own(time.Now()) {
+		r.Inflows = append(r.Inflows, fleet.Inflow{Service: service, Rate: inflow.Rate.Seconds(), OverShare: inflow.OverShare})
+	}
+	factor := ls.demand.factor(time.Now())
+	for org, u := range ls.shares.Own(time.Now()) {
+		r.Uses = append(r.Uses, fleet.Use{Organisation: org, Asked: factor * u.Asked, Got: u.Got})
+	}
+}
+
+// instanceLoads gives this router's work and what it has seen of engines' speed, by life.
+func (ls *localState) instanceLoads(now time.Time) []fleet.InstanceLoad {
+	own, times := ls.loads.Own(), ls.estimator.Own(now)
+	list := make([]fleet.InstanceLoad, 0, len(own)+len(times))
+	for life, l := range own {
+		list = append(list, instanceLoad(life, l, times[life]))
+	}
+	for life, s := range times {
+		if _, listed := own[life]; !listed {
+			list = append(list, instanceLoad(life, placement.Load{}, s))
+		}
+	}
+	return list
+}
+
+func instanceLoad(life upstream.Life, load placement.Load, times pace.Times) fleet.InstanceLoad {
+	return fleet.InstanceLoad{Instance: string(life.ID), Life: life.Start, Running: load.Running, PrefillTokens: load.PrefillTokens, KVTokens: load.KVTokens,
+		PauseWeight: load.PauseWeight, LongPrompts: load.LongPrompts, BaseMs: int(math.Round(times.Base)), ActualMs: int(math.Round(times.Actual))}
+}
+
+// NewPrefixes gives prompts newly read since the last call.
+func (ls *localState) NewPrefixes() []fleet.CachedPrefix {
+	unreported := ls.prefixIndex.TakeUnreported()
+	list := make([]fleet.CachedPrefix, 0, len(unreported))
+	for _, cached := range unreported {
+		list = append(list, fleet.CachedPrefix{Key: cached.Key, Instance: string(cached.Life.ID), Life: cached.Life.Start})
+	}
+	return list
+}
+
+// AddPrefixes takes what other routers' engines have read.
+func (ls *localState) AddPrefixes(list []fleet.CachedPrefix) {
+	prefixes := make([]placement.CachedPrefix, 0, len(list))
+	for _, r := range list {
+		prefixes = append(prefixes, placement.CachedPrefix{Key: r.Key, Life: upstream.Life{ID: upstream.ID(r.Instance), Start: r.Life}})
+	}
+	ls.prefixIndex.Merge(prefixes, time.Now())
+}
+
+// maxSuspects bounds the suspects in one report.
+const maxSuspects = 256
+
+// Suspects gives contents that ran on upstreams which broke off.
+func (ls *localState) Suspects() []wire.Suspicion {
+	list := ls.quarantine.Snapshot()
+	return list[:min(len(list), maxSuspects)]
+}
+
+// MergeSuspects takes those of another router.
+func (ls *localState) MergeSuspects(list []wire.Suspicion) { ls.quarantine.Merge(list) }
+
+// SetOthers takes what all other routers do and have seen.
+func (ls *localState) SetOthers(totals fleet.Totals) {
+	loads := make(map[upstream.Life]placement.Load, len(totals.Loads))
+	times := make(map[upstream.Life]pace.Times, len(totals.Loads))
+	for key, l := range totals.Loads {
+		life := upstream.Life{ID: upstream.ID(key.Instance), Start: key.Life}
+		loads[life] = placement.Load{Running: l.Running, PrefillTokens: l.PrefillTokens, KVTokens: l.KVTokens, PauseWeight: l.PauseWeight, LongPrompts: l.LongPrompts}
+		times[life] = pace.Times{Base: float64(l.BaseMs), Actual: float64(l.ActualMs)}
+	}
+	ls.loads.SetOthers(loads)
+	ls.estimator.SetOthers(times)
+	ls.inflows.SetOthers(decodeInflows(totals.Inflows), time.Now())
+	shares := make(map[string]placement.Use, len(totals.Uses))
+	for org, u := range totals.Uses {
+		shares[org] = placement.Use{Asked: u.Asked, Got: u.Got}
+	}
+	ls.shares.SetOthers(shares)
+	pauses := make(map[string]pace.Pauses, len(totals.Pauses))
+	for service, p := range totals.Pauses {
+		pauses[service] = decodePauses(p)
+	}
+	ls.estimator.SetOthersPauses(pauses)
+}
+
+// decodeInflows reads what others give to the instances of services. Those that can't be are left out.
+func decodeInflows(reported map[string]fleet.Inflow) map[string]placement.Inflow {
+	decoded := make(map[string]placement.Inflow, len(reported))
+	for service, f := range reported {
+		if f.Rate > 0 && f.Rate < maxInflow && math.Abs(f.Unseen) < maxInflow && math.Abs(f.OverShare) < maxOverShare {
+			decoded[service] = placement.Inflow{Rate: seconds(f.Rate), Unseen: seconds(f.Unseen), OverShare: max(0, f.OverShare)}
+		}
+	}
+	return decoded
+}
+
+const (
+	// maxInflow bounds what is believed of an inflow, in seconds of work: that of ten thousand
+	// instances.
+	maxInflow = 10_000
+	// maxOverShare bounds it in requests a second: a hundred for each of those.
+	maxOverShare = 1_000_000
+)
+
+// maxZones bounds the evacuated and the restored zones that are believed of a peer.
+const maxZones = 1000
+
+// MergeEvacuated takes the evacuated and the restored zones that another router knows of.
+func (ls *localState) MergeEvacuated(peer fleet.Member, zones []string, revision int64, restored []fleet.RestoredZone) {
+	if len(zones) <= maxZones {
+		ls.catalog.Evacuate(zones, catalog.Revision(revision), "peer "+peer.Name)
+	}
+	if 0 < len(restored) && len(restored) <= maxZones {
+		ls.catalog.HearRestored(decodeRestorations(restored, time.Now()), "peer "+peer.Name)
+	}
+}
+
+// StoreContacted takes when another router heard the operators' store.
+func (ls *localState) StoreContacted(since, until time.Time) {
+	ls.catalog.Vouch(catalog.Contact{Since: since, Until: until})
+}
+
+// PeerVersions notes a peer that knows more. The channel holds one: while a peer is asked,
+// further ones are not needed, and reports come again.
+//
+// A peer with the same list says how old it is. Without that a list that doesn't change
+// would seem old everywhere but at the routers that read it, and all would ask the store.
+func (ls *localState) PeerVersions(r *fleet.Report, asOf time.Time) {
+	ls.catalog.HearOf(r.Config)
+	if own := int64(ls.catalog.InstancesRevision()); r.Instances == own || r.Instances > own && own >= r.ListSince && r.ListSince > 0 {
+		ls.catalog.Confirm(catalog.Revision(r.Instances), asOf)
+	}
+	if !ls.lacks(r.Config, r.Instances) {
+		return
+	}
+	select {
+	case ls.newerPeers <- newerPeer{member: r.From, configVersion: r.Config, listRevision: r.Instances, asOf: asOf}:
+	default:
+	}
+}
+
+// lacks reports whether a peer with these versions knows more. The revision of the list
+// grows with every write to the store, so a peer is asked only once the own copy is old.
+func (ls *localState) lacks(config, instances int64) bool {
+	if config > ls.catalog.Version() {
+		return true
+	}
+	return instances > int64(ls.catalog.InstancesRevision()) && ls.catalog.InstancesAge(time.Now()) > fleet.StaleListAge
+}
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -56,99 +56,99 @@
 type Process struct {
 	settings atomic.Pointer[Settings]
 	log      log.Interface
-	// readdress is the deployment's.
-	readdress func(addr string)
-	metrics   *telemetry.Metrics
-	catalog   *catalog.Catalog
-	watcher   *catalog.Watcher
-	pools     *forward.Pools
-	health    *upstream.Health
-	holdings  *placement.KVIndex
-	gateway   *gateway.Gateway
-	warmup    *warmup.Gate
-	telling   *telling
-	fleet     *fleet.Fleet
-	exchange  *fleet.Exchanger
-	// asked counts what other routers ask of this one.
-	asked   traffic.Meter
-	joiner  *fleet.Joiner
-	faces   []*face
-	dropped drops
-	calls   storeCalls
-	link    linkUse
-	faults  *entryFaults
-	// holds counts upstreams that were kept though they were missing from the list.
-	holds holds
-	// turnedAway tells of callers' connections that were not let in.
-	turnedAway turnedAway
+	// setStoreAddr is the deployment's.
+	setStoreAddr func(addr string)
+	metrics      *telemetry.Metrics
+	catalog      *catalog.Catalog
+	watcher      *catalog.Watcher
+	pools        *forward.Pools
+	health       *upstream.Health
+	prefixIndex  *placement.KVIndex
+	gateway      *gateway.Gateway
+	warmup       *warmup.Gate
+	local        *localState
+	fleet        *fleet.Fleet
+	exchange     *fleet.Exchanger
+	// peerTraffic counts what other routers ask of this one.
+	peerTraffic traffic.Meter
+	joiner      *fleet.Joiner
+	endpoints   []*endpoint
+	logDrops    logDrops
+	storeCalls  storeCalls
+	linkUsage   linkUsage
+	rowFaults   *rowFaults
+	// held counts upstreams that were kept though they were missing from the list.
+	held heldUpstreams
+	// rejections tells of callers' connections that were not let in.
+	rejections rejections
 	// handover passes callers' connections on, nil where it doesn't.
-	handover *handover.Relay
-	handed   handedOver
-	// uses tells of organisations over their share.
-	uses uses
-	// crowd counts callers' connections, pressure watches over the processor.
-	crowd crowd
-	// inbound is the link as callers use it, fromCallersOf counts what comes from them.
-	inbound       *admission.Link
-	fromCallersOf []func() traffic.Bytes
-	pressure      pressure
+	handover      *handover.Relay
+	handoverStats handoverStats
+	// shareUsage tells of organisations over their share.
+	shareUsage shareUsage
+	// conns counts callers' connections, cpu watches the delay of work that waits for the CPU.
+	conns connCounter
+	// callerLink is the link as callers use it, callerTraffic counts what comes from them.
+	callerLink    *admission.Link
+	callerTraffic []func() traffic.Bytes
+	cpu           cpuMonitor
 
-	duties sync.WaitGroup
+	background sync.WaitGroup
 }
 
 // NewProcess builds a gateway and binds its addresses.
 func NewProcess(s Settings, d Deployment, l log.Interface) (*Process, error) {
 	if s.Limits.MemoryMiB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMiB<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMiB<<20) * softMemoryShare))
 	}
 	suspects := quarantine.New(quarantine.Config{Limit: gateway.CrashLimit, FadeAfter: gateway.QuarantineDuration})
-	ledger, shares, inflows, paces := placement.NewLoadTracker(), placement.NewShares(), placement.NewInflows(), pace.NewEstimator()
-	p := &Process{log: l, readdress: d.Readdress, metrics: telemetry.NewMetrics(), catalog: catalog.New(l), pools: forward.NewPools(d.Dialect.IDHeader()),
-		health: upstream.NewHealth(), holdings: placement.NewKVIndex()}
+	loads, shares, inflows, estimator := placement.NewLoadTracker(), placement.NewShares(), placement.NewInflows(), pace.NewEstimator()
+	p := &Process{log: l, setStoreAddr: d.Readdress, metrics: telemetry.NewMetrics(), catalog: catalog.New(l), pools: forward.NewPools(d.Dialect.IDHeader()),
+		health: upstream.NewHealth(), prefixIndex: placement.NewKVIndex()}
 	p.settings.Store(&s)
-	p.telling = &telling{catalog: p.catalog, ledger: ledger, holdings: p.holdings, shares: shares, inflows: inflows, paces: paces, suspects: suspects, demand: new(demand),
-		ready: func() bool { return p.gateway.Ready() }, pressed: p.pressure.pressed, log: l, behind: make(chan newer, 1)}
-	p.crowd.limit.Store(int64(s.Limits.KeptConnections))
-	p.fleet = fleet.New(member(s), p.telling, l)
+	p.local = &localState{catalog: p.catalog, loads: loads, prefixIndex: p.prefixIndex, shares: shares, inflows: inflows, estimator: estimator, quarantine: suspects, demand: new(demand),
+		ready: func() bool { return p.gateway.Ready() }, cpuStarved: p.cpu.starved, log: l, newerPeers: make(chan newerPeer, 1)}
+	p.conns.limit.Store(int64(s.Limits.KeptConnections))
+	p.fleet = fleet.New(member(s), p.local, l)
 	p.exchange = fleet.NewExchanger(p.fleet)
-	p.dropped = drops{count: d.LinesDropped, log: l, counter: p.metrics.Scope.Counter("log_lines_dropped")}
-	p.link = linkUse{scope: p.metrics.Scope, log: l}
-	p.link.watch("upstreams", p.pools.Traffic)
-	p.link.watch("peers", p.exchange.Traffic)
-	p.link.watch("peers", p.asked.Total)
-	p.link.watch("store", d.StoreTraffic)
-	p.calls = storeCalls{count: d.StoreCalls, scope: p.metrics.Scope, log: l}
-	p.uses = uses{shares: shares, capacity: p.capacity, log: l}
-	p.faults = newEntryFaults(p.catalog, d.RowFaults, l, p.metrics.Scope)
-	p.holds = holds{count: p.catalog.Holds, counter: p.metrics.Scope.Counter("upstreams_held")}
+	p.logDrops = logDrops{count: d.LinesDropped, log: l, counter: p.metrics.Scope.Counter("log_lines_dropped")}
+	p.linkUsage = linkUsage{scope: p.metrics.Scope, log: l}
+	p.linkUsage.watch("upstreams", p.pools.Traffic)
+	p.linkUsage.watch("peers", p.exchange.Traffic)
+	p.linkUsage.watch("peers", p.peerTraffic.Total)
+	p.linkUsage.watch("store", d.StoreTraffic)
+	p.storeCalls = storeCalls{counts: d.StoreCalls, scope: p.metrics.Scope, log: l}
+	p.shareUsage = shareUsage{shares: shares, capacity: p.capacity, log: l}
+	p.rowFaults = newRowFaults(p.catalog, d.RowFaults, l, p.metrics.Scope)
+	p.held = heldUpstreams{count: p.catalog.Holds, counter: p.metrics.Scope.Counter("upstreams_held")}
 	p.warmup = warmup.NewGate(p.roster, p.listCurrent, l)
-	p.tuneWarmup(s)
+	p.updateWarmup(s)
 	p.catalog.Follow(func(set *upstream.Set, known time.Time) {
 		p.pools.Follow(set, known)
 		p.warmup.Follow(set, time.Now())
 	})
 	p.catalog.FollowRestored(p.warmup.Restore)
 	p.joiner = fleet.NewJoiner(p.exchange, d.Registry, s.Entries.Known, s.Router.FirstStart, l)
-	p.watcher = catalog.NewWatcher(p.catalog, d.Store, duties{ranks: p.fleet, settled: p.joiner.Settled}, l)
+	p.watcher = catalog.NewWatcher(p.catalog, d.Store, storeDuties{ranking: p.fleet, joined: p.joiner.Settled}, l)
 	p.gateway = gateway.New(gatewaySettings(s), gateway.Dependencies{
 		Catalog: p.catalog, Dialect: d.Dialect, Pools: p.pools, Health: p.health,
-		Loads: ledger, PrefixIndex: p.holdings, Shares: shares, Inflows: inflows, Estimator: paces, Warmup: p.warmup, Quarantine: suspects, Peers: p.fleet, Log: l,
-		ConnectionPressure: func() bool { return p.crowd.full() || p.pressure.pressed() || p.inbound.Busy(time.Now()) }, Overloaded: p.overrun, CPUStarved: p.pressure.pressed, Metrics: p.metrics.Scope,
+		Loads: loads, PrefixIndex: p.prefixIndex, Shares: shares, Inflows: inflows, Estimator: estimator, Warmup: p.warmup, Quarantine: suspects, Peers: p.fleet, Log: l,
+		ConnectionPressure: func() bool { return p.conns.overLimit() || p.cpu.starved() || p.callerLink.Busy(time.Now()) }, Overloaded: p.overloaded, CPUStarved: p.cpu.starved, Metrics: p.metrics.Scope,
 	})
-	p.meet(s.Entries.Known)
+	p.addKnownPeers(s.Entries.Known)
 	return p, errors.Trace(p.bind(d.Faces))
 }
 
-// meet makes the fleet ask at addresses where routers may live.
-func (p *Process) meet(addrs []string) {
+// addKnownPeers makes the fleet ask at addresses where routers may live.
+func (p *Process) addKnownPeers(addrs []string) {
 	for _, addr := range addrs {
 		p.fleet.AddMembers([]fleet.Member{{Peers: addr}})
 	}
 }
 
-// memoryShare is the part of the memory limit at which the runtime collects at all costs;
+// softMemoryShare is the part of the memory limit at which the runtime collects at all costs;
 // the rest is for the kernel's buffers, which count as well.
-const memoryShare = 0.7
+const softMemoryShare = 0.7
 
 func gatewaySettings(s Settings) gateway.Settings {
 	return gateway.Settings{
@@ -156,7 +156,7 @@
 		PrefillTokensPerMs: s.Engines.PrefillTokensPerMs,
 		FirstEvent:         millis(s.Engines.FirstEventMs),
 		SlotTurn:           millis(s.Engines.SlotTurnMs),
-		Disabled:           s.Trial.off(),
+		Disabled:           s.Trial.disabled(),
 		Cores:              s.Limits.Cores, MaxEventDelay: millis(s.Streams.EventDelayMs),
 		RetryRatio: s.Repeats.Ratio, RetrySlack: s.Repeats.Slack,
 		RetryWindow: seconds(s.Repeats.WindowSeconds),
@@ -164,10 +164,10 @@
 	}
 }
 
-// facingCallers names the address for callers, facingPeers that for other routers.
+// callersEndpoint names the address for callers, peersEndpoint that for other routers.
 const (
-	facingCallers = "callers"
-	facingPeers   = "peers"
+	callersEndpoint = "callers"
+	peersEndpoint   = "peers"
 )
 
 func (p *Process) bind(f Faces) error {
@@ -175,26 +175,26 @@
 	if err := p.bindCallers(s.Listen.Callers); err != nil {
 		return errors.Trace(err)
 	}
-	for _, one := range []struct {
+	for _, e := range []struct {
 		name, addr string
 		handler    http.Handler
 	}{
 		{"readiness", s.Listen.Readiness, f.Readiness(p.gateway.Ready)},
-		{facingPeers, s.Listen.Peers, p.fleet.Handler()},
+		{peersEndpoint, s.Listen.Peers, p.fleet.Handler()},
 		{"metrics", s.Listen.Metrics, p.metricsHandler()},
 		{"entries", s.Listen.Entries, f.Entries(p.entries, func() float64 { return p.settings.Load().Entries.KeepSeconds })},
 	} {
-		if one.addr == "" {
+		if e.addr == "" {
 			continue
 		}
-		bound, err := newFace(one.name, one.addr, one.handler)
+		bound, err := listenEndpoint(e.name, e.addr, e.handler)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		if one.name == facingPeers {
-			bound.listen = p.asked.Listen(bound.listen)
+		if e.name == peersEndpoint {
+			bound.listener = p.peerTraffic.Listen(bound.listener)
 		}
-		p.faces = append(p.faces, bound)
+		p.endpoints = append(p.endpoints, bound)
 	}
 	return nil
 }
@@ -211,33 +211,33 @@
 // bindCallers listens for callers.
 func (p *Process) bindCallers(addr string) error {
 	limits := p.settings.Load().Limits
-	tcp, err := listenFor(addr, admission.Backlog(limits.LinkMbps))
+	tcp, err := listenBacklog(addr, admission.Backlog(limits.LinkMbps))
 	if err != nil {
-		return errors.Annotatef(err, "listen for %s", facingCallers)
+		return errors.Annotatef(err, "listen for %s", callersEndpoint)
 	}
 	l, err := admission.New(tcp, limits.Cores, gateway.RejectionResponse)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	p.inbound = admission.NewLink(limits.LinkMbps, p.fromCallers)
-	p.fromCallersOf = append(p.fromCallersOf, l.Traffic)
-	l.Over(p.inbound)
-	callers := faceOn(facingCallers, l, p.gateway)
-	callers.server.ConnState = p.crowd.observe
+	p.callerLink = admission.NewLink(limits.LinkMbps, p.bytesFromCallers)
+	p.callerTraffic = append(p.callerTraffic, l.Traffic)
+	l.Over(p.callerLink)
+	callers := newEndpoint(callersEndpoint, l, p.gateway)
+	callers.server.ConnState = p.conns.observe
 	callers.server.ConnContext = gateway.WithConn
-	p.faces = append(p.faces, callers)
+	p.endpoints = append(p.endpoints, callers)
 	if err := p.bindHandover(l); err != nil {
 		return errors.Trace(err)
 	}
-	p.link.watch("callers", l.Traffic)
-	p.link.held = p.inbound.Held
-	p.pressure.wait = l.Wait
-	p.pressure.calm = func() bool { return p.gateway.Active() == 0 }
-	p.telling.demand.count = func() (accepted, away int64) {
+	p.linkUsage.watch("callers", l.Traffic)
+	p.linkUsage.paused = p.callerLink.Held
+	p.cpu.connWait = l.Wait
+	p.cpu.idle = func() bool { return p.gateway.Active() == 0 }
+	p.local.demand.counts = func() (accepted, rejected int64) {
 		refused, closed := l.TurnedAway()
 		return l.Accepted(), refused + closed
 	}
-	p.turnedAway = turnedAway{count: l.TurnedAway, takes: l.RefusalTime, share: l.Share, log: p.log, counter: p.metrics.Scope.Counter("connections_turned_away")}
+	p.rejections = rejections{counts: l.TurnedAway, meanTime: l.RefusalTime, coreShare: l.Share, log: p.log, counter: p.metrics.Scope.Counter("connections_turned_away")}
 	return nil
 }
 
@@ -248,40 +248,40 @@
 
 // Run serves until ctx ends, then leaves in order.
 func (p *Process) Run(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	background, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	s := p.settings.Load()
 	p.log.WithFields(log.Fields{"event": "start", "callers": s.Listen.Callers, "metrics": s.Listen.Metrics, "zone": s.Router.Zone}).Info("router starts")
-	p.duty(func() { p.watcher.WatchConfig(life) })
-	p.duty(func() { p.watcher.WatchInstances(life) })
-	p.duty(func() { p.pools.Run(life, p.catalog.Instances) })
-	p.duty(func() { p.housekeeping(life) })
-	p.duty(func() { p.pressure.run(life, p.log) })
-	p.duty(func() { p.joiner.Run(life) })
-	p.duty(func() { p.exchange.Run(life) })
-	p.duty(func() { p.telling.catchUp(life, p.exchange) })
-	for _, f := range p.faces {
-		p.duty(func() { p.serve(f) })
+	p.goBackground(func() { p.watcher.WatchConfig(background) })
+	p.goBackground(func() { p.watcher.WatchInstances(background) })
+	p.goBackground(func() { p.pools.Run(background, p.catalog.Instances) })
+	p.goBackground(func() { p.housekeeping(background) })
+	p.goBackground(func() { p.cpu.run(background, p.log) })
+	p.goBackground(func() { p.joiner.Run(background) })
+	p.goBackground(func() { p.exchange.Run(background) })
+	p.goBackground(func() { p.local.catchUp(background, p.exchange) })
+	for _, f := range p.endpoints {
+		p.goBackground(func() { p.serve(f) })
 	}
 	<-ctx.Done()
-	p.leave()
-	end()
-	p.duties.Wait()
-	p.calls.write()
+	p.drain()
+	cancel()
+	p.background.Wait()
+	p.storeCalls.writeLog()
 	p.log.WithField("event", "stop").Info("router has stopped")
 	return nil
 }
 
-func (p *Process) duty(f func()) {
-	p.duties.Add(1)
+func (p *Process) goBackground(f func()) {
+	p.background.Add(1)
 	go func() {
-		defer p.duties.Done()
+		defer p.background.Done()
 		f()
 	}()
 }
 
-func (p *Process) serve(f *face) {
-	if err := f.server.Serve(f.listen); !errors.Is(err, http.ErrServerClosed) {
+func (p *Process) serve(f *endpoint) {
+	if err := f.server.Serve(f.listener); !errors.Is(err, http.ErrServerClosed) {
 		p.log.WithError(err).WithField("event", "face_lost").WithField("face", f.name).Error("stopped serving")
 	}
 }
--- a/pkg/gatewayd/turnedaway_test.go
+++ b/pkg/gatewayd/rejections_test.go
@@ -11,16 +11,16 @@
 )
 
 // Guards against callers that are turned away without a word of what the host gave the router.
-func TestTurnedAwayTellsTheShareOfACore(t *testing.T) {
+func TestRejectionLogNamesTheShareOfACore(t *testing.T) {
 	lines := memory.New()
 	refused := int64(0)
-	told := turnedAway{
-		count: func() (int64, int64) { return refused, 2 }, takes: func() time.Duration { return 25 * time.Microsecond },
-		share: func() float64 { return 0.096 }, log: &log.Logger{Handler: lines, Level: log.InfoLevel}, counter: tally.NoopScope.Counter("c"),
+	r := rejections{
+		counts: func() (int64, int64) { return refused, 2 }, meanTime: func() time.Duration { return 25 * time.Microsecond },
+		coreShare: func() float64 { return 0.096 }, log: &log.Logger{Handler: lines, Level: log.InfoLevel}, counter: tally.NoopScope.Counter("c"),
 	}
 	refused = 7
-	told.tell()
-	told.tell()
+	r.report()
+	r.report()
 	require.Len(t, lines.Entries, 1, "nobody was turned away since")
 	require.Equal(t, log.Fields{"event": "connections_turned_away", "refused": int64(7), "closed": int64(2), "each_us": int64(25), "core_percent": 10}, lines.Entries[0].Fields)
 }
--- a/pkg/gatewayd/reload.go
+++ b/pkg/gatewayd/reload.go
@@ -31,11 +31,11 @@
 	s.Router, s.Listen, s.Advertise, s.Limits.MemoryMiB, s.Limits.Cores, s.Log = old.Router, old.Listen, old.Advertise, old.Limits.MemoryMiB, old.Limits.Cores, old.Log
 	p.settings.Store(&s)
 	p.gateway.UpdateSettings(gatewaySettings(s))
-	p.tuneWarmup(s)
-	p.crowd.limit.Store(int64(s.Limits.KeptConnections))
-	p.meet(s.Entries.Known)
-	if s.Store.Addr != old.Store.Addr && p.readdress != nil {
-		p.readdress(s.Store.Addr)
+	p.updateWarmup(s)
+	p.conns.limit.Store(int64(s.Limits.KeptConnections))
+	p.addKnownPeers(s.Entries.Known)
+	if s.Store.Addr != old.Store.Addr && p.setStoreAddr != nil {
+		p.setStoreAddr(s.Store.Addr)
 	}
 	p.log.WithFields(log.Fields{"event": "reload", "store": s.Store.Addr, "needs_restart": needs}).Info("settings read again")
 }
--- a/pkg/gatewayd/reload_test.go
+++ b/pkg/gatewayd/reload_test.go
@@ -22,25 +22,25 @@
 	"github.com/flamingowind/flamingowind/pkg/warmup"
 )
 
-// reloading is a process without its addresses, with its settings in a file.
-type reloading struct {
+// testProcess is a process without its addresses, with its settings in a file.
+type testProcess struct {
 	*Process
 	file string
-	// watcher has read the file as newReloading wrote it.
+	// watcher has read the file as newTestProcess wrote it.
 	watcher *reload.Watcher
 	lines   *memory.Handler
 	store   atomic.Value
 	hup     chan os.Signal
 }
 
-func newReloading(t *testing.T) *reloading {
-	r := &reloading{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New(), hup: make(chan os.Signal)}
+func newTestProcess(t *testing.T) *testProcess {
+	r := &testProcess{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New(), hup: make(chan os.Signal)}
 	l := &log.Logger{Handler: r.lines, Level: log.InfoLevel}
 	s := DefaultSettings()
 	s.Router.Name, s.Store.Addr = "r", "127.0.0.1:1"
 	s.Listen = ListenSettings{Callers: "127.0.0.1:2", Readiness: "127.0.0.1:3", Peers: "127.0.0.1:4", Entries: "127.0.0.1:5"}
 	r.Process = &Process{log: l, catalog: catalog.New(l), health: upstream.NewHealth(),
-		readdress: func(addr string) { r.store.Store(addr) }}
+		setStoreAddr: func(addr string) { r.store.Store(addr) }}
 	r.settings.Store(&s)
 	r.fleet = fleet.New(member(s), nil, l)
 	r.warmup = warmup.NewGate(r.roster, r.listCurrent, l)
@@ -52,7 +52,7 @@
 	return r
 }
 
-func (r *reloading) write(t *testing.T, store, keep string) {
+func (r *testProcess) write(t *testing.T, store, keep string) {
 	text := "router: {name: r}\nlisten: {callers: 127.0.0.1:2, readiness: 127.0.0.1:3, peers: 127.0.0.1:4, entries: 127.0.0.1:5}\n" +
 		"store: {addr: \"" + store + "\"}\nentries: {keepSeconds: " + keep + "}\n"
 	require.NoError(t, os.WriteFile(r.file, []byte(text), 0o600))
@@ -62,7 +62,7 @@
 // signal for it. A router that doesn't look again asks the old store for ever.
 func TestChangedSettingsComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newReloading(t)
+		r := newTestProcess(t)
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
 		go r.WatchSettings(ctx, r.watcher, r.hup)
@@ -83,7 +83,7 @@
 // A half-written or faulty file must not take the settings in force away.
 func TestFaultySettingsChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newReloading(t)
+		r := newTestProcess(t)
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
 		go r.WatchSettings(ctx, r.watcher, r.hup)
@@ -100,12 +100,12 @@
 
 // An address can't be changed while it is served. The operators must be told, and what
 // can be changed must be.
-func TestReloadTellsWhatNeedsARestart(t *testing.T) {
-	r := newReloading(t)
+func TestReloadLogsWhatNeedsARestart(t *testing.T) {
+	r := newTestProcess(t)
 	s := *r.settings.Load()
 	s.Listen.Callers, s.Limits.KeptConnections = "127.0.0.1:22", 7
 	r.Reload(s)
 	require.Equal(t, []string{"listen"}, r.lines.Entries[0].Fields.Get("needs_restart"))
 	require.Equal(t, "127.0.0.1:2", r.settings.Load().Listen.Callers)
-	require.EqualValues(t, 7, r.crowd.limit.Load())
+	require.EqualValues(t, 7, r.conns.limit.Load())
 }
--- a/pkg/gatewayd/restorations_test.go
+++ b/pkg/gatewayd/restorations_test.go
@@ -15,21 +15,21 @@
 
 // Guards against a router that starts after a zone was restored, hears of the state as it is now
 // and takes the zone's upstreams for warm.
-func TestARestorationIsToldToRoutersThatStartAfterIt(t *testing.T) {
+func TestRestorationIsReportedToRoutersThatStartAfterIt(t *testing.T) {
 	l := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-	witness, starting := catalog.New(l), catalog.New(l)
-	witness.Evacuate([]string{"a"}, 5, "store")
-	witness.Evacuate(nil, 6, "store")
-	starting.Evacuate(nil, 6, "store")
+	older, newer := catalog.New(l), catalog.New(l)
+	older.Evacuate([]string{"a"}, 5, "store")
+	older.Evacuate(nil, 6, "store")
+	newer.Evacuate(nil, 6, "store")
 	var at time.Time
-	starting.FollowRestored(func(zones []string, restored time.Time) {
+	newer.FollowRestored(func(zones []string, restored time.Time) {
 		require.Equal(t, []string{"a"}, zones)
 		at = restored
 	})
 	now := time.Now()
-	told := encodeRestorations(witness, now.Add(2*time.Second))
-	hearer := telling{catalog: starting}
-	hearer.MergeEvacuated(fleet.Member{Name: "witness"}, nil, 6, told)
+	reported := encodeRestorations(older, now.Add(2*time.Second))
+	local := localState{catalog: newer}
+	local.MergeEvacuated(fleet.Member{Name: "witness"}, nil, 6, reported)
 	require.WithinDuration(t, now.Add(-2*time.Second), at, time.Second)
 }
 
--- a/pkg/gatewayd/settings_test.go
+++ b/pkg/gatewayd/settings_test.go
@@ -38,7 +38,7 @@
 	s.Router.Name, s.Store.Addr = "r", "10.0.0.1:1"
 	s.Listen = ListenSettings{Callers: "10.0.0.2:1", Readiness: "10.0.0.2:2", Peers: "10.0.0.2:3", Entries: "10.0.0.2:4"}
 	require.NoError(t, s.Check())
-	for key, spoil := range map[string]func(*Settings){
+	for key, breakSetting := range map[string]func(*Settings){
 		"router.name":            func(s *Settings) { s.Router.Name = "" },
 		"listen.callers":         func(s *Settings) { s.Listen.Callers = "here" },
 		"advertise.peers":        func(s *Settings) { s.Advertise.Peers = "there" },
@@ -50,7 +50,7 @@
 		"log.level":              func(s *Settings) { s.Log.Level = "loud" },
 	} {
 		faulty := s
-		spoil(&faulty)
+		breakSetting(&faulty)
 		require.ErrorContains(t, faulty.Check(), key)
 	}
 }
--- a/pkg/gatewayd/status.go
+++ b/pkg/gatewayd/status.go
@@ -12,33 +12,33 @@
 	now := time.Now()
 	s := p.settings.Load()
 	set, rev := p.catalog.Instances(), p.catalog.InstancesRevision()
-	one := status.Status{
+	current := status.Status{
 		Router: s.Router.Name, Zone: s.Router.Zone, Ready: p.gateway.Ready(), Active: p.gateway.Active(),
 		Config: p.catalog.Version(), ListRevision: int64(rev), Exchange: p.fleet.Role(),
 		EvacuatedZones: append([]string{}, p.catalog.Evacuations().Zones...),
 		Routers:        make([]status.Router, 0), Upstreams: make([]status.Upstream, 0), Organisations: p.organisations(now),
 	}
 	if rev > 0 {
-		one.ListAgeMs = p.catalog.InstancesAge(now).Milliseconds()
+		current.ListAgeMs = p.catalog.InstancesAge(now).Milliseconds()
 	}
-	one.Faults = p.faults.total()
-	if p.dropped.count != nil {
-		one.LinesDropped = p.dropped.count()
+	current.Faults = p.rowFaults.total()
+	if p.logDrops.count != nil {
+		current.LinesDropped = p.logDrops.count()
 	}
 	for _, e := range p.fleet.Alive() {
-		one.Routers = append(one.Routers, status.Router{Name: e.Member.Name, Zone: e.Member.Zone, Callers: e.Member.Callers, Ready: e.Ready})
+		current.Routers = append(current.Routers, status.Router{Name: e.Member.Name, Zone: e.Member.Zone, Callers: e.Member.Callers, Ready: e.Ready})
 	}
 	for _, in := range set.List() {
 		handicap, usable := p.health.Usable(in.Life(), now)
-		load := p.telling.ledger.Load(in.Life())
-		one.Upstreams = append(one.Upstreams, status.Upstream{Born: in.Born, Fault: p.faults.of(&in), Held: p.catalog.Basis(in.ID, now).Held,
+		load := p.local.loads.Load(in.Life())
+		current.Upstreams = append(current.Upstreams, status.Upstream{Born: in.Born, Fault: p.rowFaults.fault(&in), Held: p.catalog.Basis(in.ID, now).Held,
 			ID: string(in.ID), Service: in.Service, Addr: in.Addr, Zone: in.Zone,
 			State: string(in.State), Usable: usable, HandicapMs: handicap.Milliseconds(), Running: load.Running, Slots: in.Slots, Unread: load.PrefillTokens,
-			Slowness: p.telling.paces.Slowness(in.Life(), now), Fragile: load.PauseWeight, Long: load.LongPrompts})
+			Slowness: p.local.estimator.Slowness(in.Life(), now), Fragile: load.PauseWeight, Long: load.LongPrompts})
 	}
-	sort.Slice(one.Upstreams, func(i, j int) bool { return one.Upstreams[i].ID < one.Upstreams[j].ID })
-	sort.Slice(one.Routers, func(i, j int) bool { return one.Routers[i].Name < one.Routers[j].Name })
-	return one
+	sort.Slice(current.Upstreams, func(i, j int) bool { return current.Upstreams[i].ID < current.Upstreams[j].ID })
+	sort.Slice(current.Routers, func(i, j int) bool { return current.Routers[i].Name < current.Routers[j].Name })
+	return current
 }
 
 func (p *Process) organisations(now time.Time) []status.Organisation {
@@ -47,8 +47,8 @@
 		capacity = table.Config.Limits.TokensPerSecond
 	}
 	list := make([]status.Organisation, 0)
-	for org, use := range p.telling.shares.All(now) {
-		list = append(list, status.Organisation{Name: org, Asked: use.Asked, Got: use.Got, Standing: p.telling.shares.Standing(org, capacity, now).ShareRatio})
+	for org, use := range p.local.shares.All(now) {
+		list = append(list, status.Organisation{Name: org, Asked: use.Asked, Got: use.Got, Standing: p.local.shares.Standing(org, capacity, now).ShareRatio})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
--- a/pkg/gatewayd/storecalls.go
+++ b/pkg/gatewayd/storecalls.go
@@ -7,43 +7,43 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// storeCallsRounds is the number of rounds of housekeeping between two lines about calls to the
+// storeCallsLogRounds is the number of rounds of housekeeping between two lines about calls to the
 // store.
-const storeCallsRounds = 5
+const storeCallsLogRounds = 5
 
 // storeCalls tells how many calls to the operators' store this router has made, by kind.
 type storeCalls struct {
-	count  func() map[string]int64
-	scope  tally.Scope
-	log    log.Interface
-	told   map[string]int64
-	logged map[string]int64
-	round  int
+	counts   func() map[string]int64
+	scope    tally.Scope
+	log      log.Interface
+	reported map[string]int64
+	logged   map[string]int64
+	round    int
 }
 
-// tell brings the counters up to date, and writes a line now and then when there were calls.
-func (c *storeCalls) tell() {
-	if c.count == nil {
+// report brings the counters up to date, and writes a line now and then when there were calls.
+func (c *storeCalls) report() {
+	if c.counts == nil {
 		return
 	}
-	all := c.count()
+	all := c.counts()
 	for kind, n := range all {
-		if fresh := n - c.told[kind]; fresh > 0 {
-			c.scope.Tagged(map[string]string{"kind": kind}).Counter("store_calls").Inc(fresh)
+		if added := n - c.reported[kind]; added > 0 {
+			c.scope.Tagged(map[string]string{"kind": kind}).Counter("store_calls").Inc(added)
 		}
 	}
-	c.told = all
-	if c.round++; c.round%storeCallsRounds == 0 {
-		c.write()
+	c.reported = all
+	if c.round++; c.round%storeCallsLogRounds == 0 {
+		c.writeLog()
 	}
 }
 
-// write tells the log of the calls so far, if there were any since the last line.
-func (c *storeCalls) write() {
-	if c.count == nil {
+// writeLog tells the log of the calls so far, if there were any since the last line.
+func (c *storeCalls) writeLog() {
+	if c.counts == nil {
 		return
 	}
-	all := c.count()
+	all := c.counts()
 	if maps.Equal(all, c.logged) {
 		return
 	}
--- a/pkg/gatewayd/trial.go
+++ b/pkg/gatewayd/trial.go
@@ -9,7 +9,7 @@
 	Off []string `yaml:"off"`
 }
 
-// mechanisms gives the switch of a mechanism by its name; nil for one that isn't known.
+// mechanism returns the switch of a mechanism by its name; nil for one that is not known.
 func mechanism(m *gateway.DisabledMechanisms, name string) *bool {
 	switch name {
 	case "speeds":
@@ -32,12 +32,12 @@
 	return nil
 }
 
-// off gives the switches; Check has seen to it that the names are known.
-func (t TrialSettings) off() gateway.DisabledMechanisms {
+// disabled gives the switches; Check has seen to it that the names are known.
+func (t TrialSettings) disabled() gateway.DisabledMechanisms {
 	var m gateway.DisabledMechanisms
 	for _, name := range t.Off {
-		if one := mechanism(&m, name); one != nil {
-			*one = true
+		if disabled := mechanism(&m, name); disabled != nil {
+			*disabled = true
 		}
 	}
 	return m
--- a/pkg/gatewayd/warmup.go
+++ b/pkg/gatewayd/warmup.go
@@ -22,6 +22,6 @@
 	return p.catalog.InstancesAge(now) < coldListAge
 }
 
-func (p *Process) tuneWarmup(s Settings) {
+func (p *Process) updateWarmup(s Settings) {
 	p.warmup.Tune(cmp.Or(s.Warmup.Over, 1), s.Warmup.Slack)
 }
--- a/pkg/reload/watcher.go
+++ b/pkg/reload/watcher.go
@@ -14,18 +14,18 @@
 	// Every is the time within which other content of the settings file is applied: it may
 	// change without a signal.
 	Every = 2 * time.Second
-	// lookEvery is the pause between two looks, of which two must find the same. A look costs
+	// pollInterval is the pause between two looks, of which two must find the same. A look costs
 	// one read of a small file.
-	lookEvery = Every / 2
+	pollInterval = Every / 2
 )
 
 // Watcher watches one settings file.
 type Watcher struct {
 	file    string
 	content []byte
-	// unsettled is whether the newest look found seen in place of content.
-	unsettled bool
-	seen      []byte
+	// changePending is whether the newest poll found pending in place of content.
+	changePending bool
+	pending       []byte
 }
 
 // Open reads file for the first time. A process starts with that content.
@@ -53,44 +53,45 @@
 // Guard: by default the signal that announces other settings ends the process, and with
 // it all that it serves. Whoever sends the signal must be listened to.
 func (w *Watcher) Run(ctx context.Context, now <-chan os.Signal, apply Apply, l log.Interface) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		asked := false
+		announced := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-now:
-			asked = true
+			announced = true
 		case <-tick.C:
 		}
-		if err := w.look(asked, apply); err != nil {
+		if err := w.poll(announced, apply); err != nil {
 			l.WithError(err).WithField("event", "reload_failed").Error("other settings can't be read, those in force stay")
 		}
 	}
 }
 
-// look reads the file and applies it when asked is set, or when it has changed and stays the same.
-func (w *Watcher) look(asked bool, apply Apply) error {
+// poll reads the file and applies it when announced is set, or when it has changed and stays the
+// same.
+func (w *Watcher) poll(announced bool, apply Apply) error {
 	content, err := os.ReadFile(w.file)
 	switch {
-	case err != nil && !asked: // it is being replaced; a later look finds it
-		w.unsettled = false
+	case err != nil && !announced: // it is being replaced; a later look finds it
+		w.changePending = false
 		return nil
 	case err != nil:
 		return errors.Trace(err)
-	case !asked && !w.settled(content):
+	case !announced && !w.changeSettled(content):
 		return nil
 	}
-	w.content, w.unsettled = content, false
+	w.content, w.changePending = content, false
 	return errors.Trace(apply(content))
 }
 
-// settled reports whether the file has changed and two looks found the same.
+// changeSettled reports whether the file has changed and two looks found the same.
 //
 // Guard: a file that is just being written ends anywhere, and half of it may be sound.
-func (w *Watcher) settled(content []byte) bool {
-	same := w.unsettled && bytes.Equal(content, w.seen)
-	w.unsettled, w.seen = !bytes.Equal(content, w.content), content
-	return same && w.unsettled
+func (w *Watcher) changeSettled(content []byte) bool {
+	same := w.changePending && bytes.Equal(content, w.pending)
+	w.changePending, w.pending = !bytes.Equal(content, w.content), content
+	return same && w.changePending
 }
--- a/pkg/reload/watcher_test.go
+++ b/pkg/reload/watcher_test.go
@@ -17,15 +17,15 @@
 	"github.com/flamingowind/flamingowind/pkg/reload"
 )
 
-// watched is a settings file under a watcher that takes any content but "faulty".
-type watched struct {
+// testFile is a settings file under a watcher that takes any content but "faulty".
+type testFile struct {
 	file    string
 	applied []string
 	lines   *memory.Handler
 	hup     chan os.Signal
 }
 
-func (w *watched) apply(content []byte) error {
+func (w *testFile) apply(content []byte) error {
 	if string(content) == "faulty" {
 		return errors.New("faulty")
 	}
@@ -33,14 +33,14 @@
 	return nil
 }
 
-func (w *watched) write(t *testing.T, content string) {
+func (w *testFile) write(t *testing.T, content string) {
 	require.NoError(t, os.WriteFile(w.file, []byte(content), 0o600))
 }
 
-// watch runs the test with a watcher of a file that holds "first".
-func watch(t *testing.T, test func(t *testing.T, w *watched)) {
+// withWatcher runs the test with a watcher of a file that holds "first".
+func withWatcher(t *testing.T, test func(t *testing.T, w *testFile)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &watched{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New(), hup: make(chan os.Signal)}
+		w := &testFile{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New(), hup: make(chan os.Signal)}
 		w.write(t, "first")
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
@@ -55,7 +55,7 @@
 // The operators replace the file. Half-way through it is gone for a moment, which is no
 // fault; the whole file comes into force once, and not again while it stays as it is.
 func TestAChangedFileIsAppliedOnce(t *testing.T) {
-	watch(t, func(t *testing.T, w *watched) {
+	withWatcher(t, func(t *testing.T, w *testFile) {
 		require.NoError(t, os.Remove(w.file))
 		time.Sleep(reload.Every)
 		w.write(t, "second")
@@ -71,7 +71,7 @@
 func TestAFileIsNotAppliedWhileItIsWritten(t *testing.T) {
 	const step = 50 * time.Millisecond
 	for begun := time.Duration(0); begun < reload.Every; begun += step {
-		watch(t, func(t *testing.T, w *watched) {
+		withWatcher(t, func(t *testing.T, w *testFile) {
 			time.Sleep(begun)
 			for _, written := range []string{"", "sec", "second"} {
 				w.write(t, written)
@@ -86,8 +86,8 @@
 
 // Whoever announces settings expects them to be read at once, also when they are the
 // same ones, or when the file can't be read.
-func TestTheSignalIsAnsweredAtOnce(t *testing.T) {
-	watch(t, func(t *testing.T, w *watched) {
+func TestSignalReloadsAtOnce(t *testing.T) {
+	withWatcher(t, func(t *testing.T, w *testFile) {
 		w.hup <- syscall.SIGHUP
 		synctest.Wait()
 		require.Equal(t, []string{"first"}, w.applied)
@@ -104,7 +104,7 @@
 // as the address of a store that is gone, until the next change.
 func TestAChangeDuringTheStartIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &watched{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New()}
+		w := &testFile{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New()}
 		w.write(t, "first")
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
@@ -119,8 +119,8 @@
 }
 
 // A faulty file is told once and not every two seconds, and the next sound one counts.
-func TestAFaultyFileIsToldOnce(t *testing.T) {
-	watch(t, func(t *testing.T, w *watched) {
+func TestFaultyFileIsLoggedOnce(t *testing.T) {
+	withWatcher(t, func(t *testing.T, w *testFile) {
 		w.write(t, "faulty")
 		time.Sleep(5 * reload.Every)
 		synctest.Wait()
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -8,27 +8,27 @@
 
 // Table is a configuration made ready for look-ups.
 type Table struct {
-	Config   *Config
-	byHost   map[string][]*Route
-	byKey    map[string]*Organisation
-	services map[string]*Service
-	pauses   map[string]time.Duration
+	Config    *Config
+	byHost    map[string][]*Route
+	byKey     map[string]*Organisation
+	services  map[string]*Service
+	maxPauses map[string]time.Duration
 }
 
 // NewTable indexes c, which must not change afterwards.
 func NewTable(c *Config) *Table {
 	t := &Table{
-		Config:   c,
-		byHost:   make(map[string][]*Route),
-		byKey:    make(map[string]*Organisation),
-		services: make(map[string]*Service, len(c.Services)),
-		pauses:   make(map[string]time.Duration),
+		Config:    c,
+		byHost:    make(map[string][]*Route),
+		byKey:     make(map[string]*Organisation),
+		services:  make(map[string]*Service, len(c.Services)),
+		maxPauses: make(map[string]time.Duration),
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
-		t.allow(r)
+		t.addMaxPause(r)
 	}
 	for _, routes := range t.byHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
@@ -65,21 +65,21 @@
 // HasOrganisations reports whether requests need keys.
 func (t *Table) HasOrganisations() bool { return len(t.Config.Organisations) > 0 }
 
-// allow notes the pause that a route allows its streams, for each service that serves it.
-func (t *Table) allow(r *Route) {
+// addMaxPause notes the pause that a route allows its streams, for each service that serves it.
+func (t *Table) addMaxPause(r *Route) {
 	if r.MaxPause <= 0 {
 		return
 	}
 	for _, target := range r.Targets {
-		if least, ok := t.pauses[target.Service]; !ok || r.MaxPause < least {
-			t.pauses[target.Service] = r.MaxPause
+		if shortest, ok := t.maxPauses[target.Service]; !ok || r.MaxPause < shortest {
+			t.maxPauses[target.Service] = r.MaxPause
 		}
 	}
 }
 
 // MaxPause is the shortest pause between two events that any route to a service allows; 0
 // when none sets one.
-func (t *Table) MaxPause(service string) time.Duration { return t.pauses[service] }
+func (t *Table) MaxPause(service string) time.Duration { return t.maxPauses[service] }
 
 // Service finds a service by name.
 func (t *Table) Service(name string) *Service { return t.services[name] }
