--- a/pkg/delta/delta.go
+++ b/pkg/delta/delta.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// MaxDocument bounds a document, in bytes.
+	// MaxDocument is the maximum size of a document, in bytes.
 	MaxDocument = 8 << 20
-	// minWindow is the smallest window of the codec, in bytes.
+	// minWindow is the smallest window of the zstd codec, in bytes.
 	minWindow = 16 << 10
-	// dictionaryID names the base in the frame.
+	// dictionaryID identifies the base as the dictionary of a zstd frame.
 	dictionaryID = 1
 )
 
-// ErrTooLarge says that a document is over MaxDocument.
+// ErrTooLarge is returned for a document larger than MaxDocument.
 const ErrTooLarge = errors.ConstError("document too large")
 
-// Pack gives document for a reader that has base; nil for one that has nothing.
+// Pack compresses document for a receiver that has base, or nothing if base is nil.
 func Pack(document, base []byte) ([]byte, error) {
 	if len(document) > MaxDocument {
 		return nil, errors.Annotatef(ErrTooLarge, "%d bytes", len(document))
@@ -37,11 +37,10 @@
 	return enc.EncodeAll(document, nil), nil
 }
 
-// window is the smallest power of two that holds n bytes.
+// window returns the smallest power of two that holds n bytes, within the codec's limits.
 func window(n int) int { return max(minWindow, min(MaxDocument, 1<<bits.Len(uint(n)))) }
 
-// Unpack gives the document that was packed for a reader of base. It never inflates past
-// MaxDocument.
+// Unpack decompresses a document that was packed with base. It never inflates past MaxDocument.
 func Unpack(packed, base []byte) ([]byte, error) {
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxDocument)}
 	if len(base) > 0 {
--- a/pkg/delta/delta_test.go
+++ b/pkg/delta/delta_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// randomBytes is n bytes without any pattern.
+// randomBytes returns n random bytes, which do not compress.
 func randomBytes(seed uint64, n int) []byte {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	b := make([]byte, n)
@@ -35,7 +35,7 @@
 	})
 }
 
-// Guards against bytes that grow with the document where little has changed.
+// Guards against a packed size that grows with the document although little has changed.
 func TestDeltaSizeFollowsTheChange(t *testing.T) {
 	for _, size := range []int{20 << 10, 300 << 10} {
 		base := randomBytes(1, size)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Guards against a document that is put together with another base than it was packed for.
+// Guards against a document that is decoded with another base than it was packed with.
 func TestUnpackWithAnotherBaseFails(t *testing.T) {
 	base := randomBytes(1, 10<<10)
 	packed, err := Pack(append(bytes.Clone(base), 1), base)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Guards against a few bytes that inflate to more than the process may use.
+// Guards against a small input that inflates to more memory than the process may use.
 func TestDocumentsAreBounded(t *testing.T) {
 	_, err := Pack(make([]byte, MaxDocument+1), nil)
 	require.ErrorIs(t, err, ErrTooLarge)
--- a/pkg/delta/doc.go
+++ b/pkg/delta/doc.go
@@ -1,3 +1,3 @@
-// Package delta packs documents for readers that may have an earlier version of them. What is
-// packed then takes bytes for what has changed.
+// Package delta compresses documents for receivers that may have an earlier version of them. The
+// size of the result follows the size of the change.
 package delta
