--- a/pkg/reload/doc.go
+++ b/pkg/reload/doc.go
@@ -1,5 +1,5 @@
-// Package reload puts other settings in force while a process runs.
+// Package reload applies changed settings while a process runs.
 //
-// Watcher notices that a settings file changed, or that somebody announced it; what the
-// settings mean is the process's own. NeedRestart names what it can't change.
+// Watcher notices that a settings file changed, or that a signal announced it; the process
+// interprets the settings. NeedRestart names the sections that need a restart.
 package reload
--- a/pkg/reload/watcher.go
+++ b/pkg/reload/watcher.go
@@ -11,11 +11,10 @@
 )
 
 const (
-	// Every is the time within which other content of the settings file is applied: it may
-	// change without a signal.
+	// Every is the time within which a changed settings file is applied without a signal.
 	Every = 2 * time.Second
-	// pollInterval is the pause between two looks, of which two must find the same. A look costs
-	// one read of a small file.
+	// pollInterval is the time between two polls, of which two must read the same content. A poll
+	// costs one read of a small file.
 	pollInterval = Every / 2
 )
 
@@ -30,9 +29,8 @@
 
 // Open reads file for the first time. A process starts with that content.
 //
-// Guard: a file that is replaced after a process has read it and before it watches it
-// would look unchanged for ever, and the process would go by the settings before.
-// Compared with what the process started with, it differs at the first look.
+// A file that is replaced after the process has read it and before Run watches it differs from this
+// content at the first poll. Otherwise the process would keep its old settings.
 func Open(file string) (*Watcher, error) {
 	content, err := os.ReadFile(file)
 	return &Watcher{file: file, content: content}, errors.Annotate(err, "read settings")
@@ -47,11 +45,11 @@
 // Apply puts a file's content in force; when it fails nothing may have changed.
 type Apply func(content []byte) error
 
-// Run applies the file whenever now is sent to, and when its content has changed, until
-// ctx ends.
+// Run applies the file whenever now receives a signal, and when its content has changed, until ctx
+// ends.
 //
-// Guard: by default the signal that announces other settings ends the process, and with
-// it all that it serves. Whoever sends the signal must be listened to.
+// By default the signal that announces new settings terminates the process, so now must be
+// registered for it.
 func (w *Watcher) Run(ctx context.Context, now <-chan os.Signal, apply Apply, l log.Interface) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
