--- a/pkg/delta/delta.go
+++ b/pkg/delta/delta.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// MaxDocument bounds a document, in bytes.
+	// MaxDocument is the maximum size of a document, in bytes.
 	MaxDocument = 8 << 20
-	// leastWindow is the smallest window of the codec, in bytes.
-	leastWindow = 16 << 10
-	// baseID names the base in the frame.
-	baseID = 1
+	// minWindow is the smallest window of the zstd codec, in bytes.
+	minWindow = 16 << 10
+	// dictionaryID identifies the base as the dictionary of a zstd frame.
+	dictionaryID = 1
 )
 
-// ErrTooLarge says that a document is over MaxDocument.
+// ErrTooLarge is returned for a document larger than MaxDocument.
 const ErrTooLarge = errors.ConstError("document too large")
 
-// Pack gives document for a reader that has base; nil for one that has nothing.
+// Pack compresses document for a receiver that has base, or nothing if base is nil.
 func Pack(document, base []byte) ([]byte, error) {
 	if len(document) > MaxDocument {
 		return nil, errors.Annotatef(ErrTooLarge, "%d bytes", len(document))
@@ -27,7 +27,7 @@
 	options := []zstd.EOption{zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithEncoderConcurrency(1),
 		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(window(len(document) + len(base)))}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	enc, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -37,15 +37,14 @@
 	return enc.EncodeAll(document, nil), nil
 }
 
-// window is the smallest power of two that holds n bytes.
-func window(n int) int { return max(leastWindow, min(MaxDocument, 1<<bits.Len(uint(n)))) }
+// window returns the smallest power of two that holds n bytes, within the codec's limits.
+func window(n int) int { return max(minWindow, min(MaxDocument, 1<<bits.Len(uint(n)))) }
 
-// Unpack gives the document that was packed for a reader of base. It never inflates past
-// MaxDocument.
+// Unpack decompresses a document that was packed with base. It never inflates past MaxDocument.
 func Unpack(packed, base []byte) ([]byte, error) {
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(MaxDocument)}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	dec, err := zstd.NewReader(nil, options...)
 	if err != nil {
