--- a/pkg/dispatch/garbage_test.go
+++ b/pkg/dispatch/garbage_test.go
@@ -42,11 +42,11 @@
 	stream := streamCall(false)
 	failed, died := wire.OutcomeFailed, wire.OutcomeDied
 	cases := []struct {
-		name    string
-		call    *Call
-		answer  string
-		outcome wire.Outcome
-		fault   error
+		name     string
+		call     *Call
+		response string
+		outcome  wire.Outcome
+		fault    error
 	}{
 		{"not HTTP", service, "hello\r\n\r\n", failed, errMalformed},
 		{"empty", service, "", died, errConnBroken},
@@ -77,7 +77,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			up := newUpstream(t, rawResponse(c.answer))
+			up := newUpstream(t, rawResponse(c.response))
 			d := New(smallLimits())
 			defer d.Close()
 			slot := &fakeSlot{url: up.URL}
@@ -158,16 +158,16 @@
 // Only the connection's close ends a response without a length. Guards against one that is accepted
 // as complete although the upstream crashed, or as broken although the upstream is alive.
 func TestResponseWithoutLengthIsCompleteIfUpstreamIsAlive(t *testing.T) {
-	for _, dies := range []bool{false, true} {
+	for _, crashes := range []bool{false, true} {
 		var up *httptest.Server
 		up = newUpstream(t, func(w http.ResponseWriter, r *http.Request) {
-			if dies {
+			if crashes {
 				_ = up.Listener.Close()
 			}
 			rawResponse(headerOK+"\r\nabc")(w, r)
 		})
 		r, slot, _ := do(t, up.URL, &Call{Method: http.MethodPost, Body: []byte("x")})
-		if !dies {
+		if !crashes {
 			requireComplete(t, r)
 			checkEqual(t, "body", "abc", string(r.Body))
 			continue
--- a/pkg/dispatch/stream_test.go
+++ b/pkg/dispatch/stream_test.go
@@ -26,7 +26,7 @@
 
 // Guards against streams that are treated as broken because their lines end in CR or the last LF is
 // missing.
-func TestStreamsOfAnyLineEndAreRelayedWhole(t *testing.T) {
+func TestStreamsWithAnyLineEndingAreRelayedWhole(t *testing.T) {
 	for _, end := range []string{"\r\n", "\r"} {
 		text := strings.ReplaceAll(eventsText(0, 10)+doneText, "\n", end)
 		for _, sent := range []string{text, strings.TrimSuffix(text, "\n")} {
