--- a/pkg/gatewayd/catchup.go
+++ b/pkg/gatewayd/catchup.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// reportWait is how long reports and the store are waited for before a peer is asked:
-	// usually they bring what is new.
+	// reportWait is the delay before a request to a peer: reports and the store usually deliver
+	// the update within it.
 	reportWait = 300 * time.Millisecond
-	// hedgeDelay is the time after which another peer is asked as well, requestTimeout bounds one
-	// request and maxInFlight the requests in flight.
+	// hedgeDelay is the time after which a hedged request may go to another peer, requestTimeout
+	// bounds one request and maxInFlight the concurrent requests.
 	hedgeDelay     = 400 * time.Millisecond
 	requestTimeout = 5 * time.Second
 	maxInFlight    = 3
 )
 
-// Catalog gives another router what it lacks.
+// Catalog returns the newer configuration and list of upstreams that a peer lacks.
 func (ls *localState) Catalog(request fleet.CatalogRequest) fleet.CatalogUpdate {
 	var update fleet.CatalogUpdate
 	if table := ls.catalog.Table(); table != nil && table.Config.Version > request.Config {
@@ -54,7 +54,7 @@
 	}
 }
 
-// addInstances gives the list that has been the same since a revision.
+// addInstances adds the list of upstreams, unchanged since a revision, to an update.
 func (ls *localState) addInstances(update *fleet.CatalogUpdate, set *upstream.Set, since int64, packed bool) {
 	if !packed {
 		update.PlainInstances = set.List()
@@ -69,12 +69,12 @@
 	update.Instances = list
 }
 
-// logCodecError logs that something can't be told to peers.
+// logCodecError logs that a configuration or list can't be encoded for peers or decoded.
 func (ls *localState) logCodecError(err error) {
-	ls.log.WithError(err).WithField("event", "catalog_unpacked").Error("catalog can't be given to peers or read")
+	ls.log.WithError(err).WithField("event", "catalog_unpacked").Error("cannot encode or decode the catalog for peers")
 }
 
-// ApplyUpdate takes what a peer gave.
+// ApplyUpdate applies an update from a peer to the catalog.
 func (ls *localState) ApplyUpdate(from fleet.Member, update *fleet.CatalogUpdate, asOf time.Time) {
 	source := "peer " + from.Name
 	if update.PlainConfig != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// catchUp asks peers for what reports don't bring, until ctx ends.
+// catchUp requests newer configurations and lists from peers until ctx ends.
 func (ls *localState) catchUp(ctx context.Context, exchanger *fleet.Exchanger) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -125,7 +125,7 @@
 					ls.requestUpdate(ctx, exchanger, newer)
 				})
 				waiting.Until(ctx, done, hedgeDelay)
-			default: // their answers are under way
+			default: // maxInFlight requests are waiting for responses
 			}
 		}
 	}
@@ -140,16 +140,16 @@
 	fields := log.Fields{"event": "caught_up", "peer": newer.member.Name, "config": request.Config, "peer_config": newer.configVersion, "waited_ms": time.Since(began).Milliseconds()}
 	if err != nil {
 		fields["event"] = "catch_up_failed"
-		ls.log.WithError(err).WithFields(fields).Info("peer gives no catalog")
+		ls.log.WithError(err).WithFields(fields).Info("peer did not return its catalog")
 		return
 	}
 	if update.Config != nil || update.PlainConfig != nil {
-		ls.log.WithFields(fields).Info("peer gives a configuration")
+		ls.log.WithFields(fields).Info("received a configuration from a peer")
 	}
 	ls.ApplyUpdate(newer.member, update, newer.asOf)
 }
 
-// digest is that of the configuration in force; 0 without one.
+// digest returns the digest of the configuration in force; 0 without one.
 func (ls *localState) digest() uint64 {
 	table := ls.catalog.Table()
 	if table == nil {
--- a/pkg/gatewayd/check.go
+++ b/pkg/gatewayd/check.go
@@ -11,7 +11,7 @@
 	"github.com/flamingowind/flamingowind/pkg/gateway"
 )
 
-// Check gives all faults of the settings in one error.
+// Check returns all faults of the settings in one error.
 func (s Settings) Check() error {
 	var faults []string
 	require := func(ok bool, format string, args ...any) {
--- a/pkg/gatewayd/demand.go
+++ b/pkg/gatewayd/demand.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// demandWindow is the time constant in seconds with which connections are forgotten: that of the
-// organisations' shares, which demand stretches.
+// demandWindow is the time constant in seconds of the decaying counts of connections. It equals
+// that of the organisations' shares, which demand scales.
 const demandWindow = 2.0
 
-// demand tells how many times more callers ask of this router than it reads.
+// demand estimates the ratio of callers' demand to the requests that this router reads.
 //
-// Guard: connections that are turned away for want of processor are not read, so nobody knows
-// whose they were. An organisation whose callers all come to this router then seems to ask for
-// little, and to get what it asks.
+// Connections rejected for lack of CPU are not read, so their organisation is unknown. Without
+// this factor an organisation whose callers all use this router seems to ask for little, and to
+// get all of it.
 type demand struct {
-	// counts gives the connections that were let in and those that were turned away so far.
+	// counts returns the total numbers of accepted and of rejected connections.
 	counts func() (accepted, rejected int64)
 
 	mu                         sync.Mutex
@@ -25,7 +25,7 @@
 	updatedAt                  time.Time
 }
 
-// factor is what callers ask over what is read of it, 1 or more.
+// factor returns the ratio of all connections to the accepted ones, 1 or more.
 func (d *demand) factor(now time.Time) float64 {
 	if d == nil || d.counts == nil {
 		return 1
--- a/pkg/gatewayd/doc.go
+++ b/pkg/gatewayd/doc.go
@@ -1,3 +1,3 @@
-// Package gatewayd joins the parts of a gateway into a process: settings, servers,
-// duties, start and end.
+// Package gatewayd assembles the components of a gateway into a process: settings, servers,
+// background tasks, startup and shutdown.
 package gatewayd
--- a/pkg/gatewayd/documents.go
+++ b/pkg/gatewayd/documents.go
@@ -14,11 +14,11 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// maxDocuments is how many versions of the configuration are kept, for peers that have one of
-// them and lack the newest.
+// maxDocuments is the number of configuration versions that are kept as bases of deltas for peers
+// that lack the newest.
 const maxDocuments = 4
 
-// document is a configuration as routers give it to each other.
+// document is an encoded configuration as routers exchange it.
 type document struct {
 	version int64
 	// digest tells different documents of one version apart.
@@ -26,14 +26,14 @@
 	plain  []byte
 }
 
-// documents packs configurations and lists of upstreams for peers.
+// documents compresses configurations and lists of upstreams for peers.
 type documents struct {
 	mu sync.Mutex
 	// versions are the last versions in force, the newest last.
 	versions []document
-	// packed holds the newest document, by the version that its reader has; 0 for none.
+	// packed caches the newest document by the version that its receiver has; 0 for none.
 	packed map[int64][]byte
-	// packedList is the packed list of upstreams that has been the same since listSince.
+	// packedList caches the compressed list of upstreams, unchanged since revision listSince.
 	packedList []byte
 	listSince  int64
 }
@@ -56,7 +56,7 @@
 	return d.add(cfg.Version, plain), nil
 }
 
-// add keeps a document, and forgets the oldest.
+// add stores a document, and drops the oldest beyond maxDocuments.
 func (d *documents) add(version int64, plain []byte) document {
 	doc := document{version: version, digest: xxhash.Sum64(plain), plain: plain}
 	d.versions = append(d.versions, doc)
@@ -68,8 +68,8 @@
 	return doc
 }
 
-// pack gives cfg, which is in force, for a reader that has the document of a version with a
-// digest. base is that version, or 0 when the whole document is given.
+// pack compresses cfg, which is in force, for a receiver that has the document with the given
+// version and digest. base is that version, or 0 when the whole document is returned.
 func (d *documents) pack(cfg *routing.Config, version int64, digest uint64) (packed []byte, base int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -94,7 +94,7 @@
 	return packed, base, nil
 }
 
-// unpack reads what a peer gave as the difference from version base; 0 for a whole document.
+// unpack decodes a peer's delta from version base; base is 0 for a whole document.
 func (d *documents) unpack(packed []byte, base int64) (*routing.Config, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +120,7 @@
 	return cfg, nil
 }
 
-// packList gives the list of upstreams that has been the same since a revision.
+// packList compresses the list of upstreams, unchanged since a revision.
 func (d *documents) packList(set *upstream.Set, since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +139,7 @@
 	return packed, nil
 }
 
-// unpackList reads a list of upstreams.
+// unpackList decodes a compressed list of upstreams.
 func unpackList(packed []byte) ([]upstream.Instance, error) {
 	plain, err := delta.Unpack(packed, nil)
 	if err != nil {
--- a/pkg/gatewayd/drain.go
+++ b/pkg/gatewayd/drain.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// Times of an orderly end.
+// Timing of a graceful shutdown.
 const (
-	// refuseLateAfter is the part of the grace after which a leaving router takes only requests
-	// that are sure to end in time. Callers keep its address for some seconds.
+	// refuseLateAfter is the part of the grace period after which a draining router accepts only
+	// requests that are sure to end in time. Callers keep its address for some seconds.
 	refuseLateAfter = 0.375
-	// exitMargin is the part of the grace that is left when the process ends by itself,
-	// before it is ended by force.
+	// exitMargin is the part of the grace period that remains when the process exits by itself,
+	// before it is killed.
 	exitMargin = 0.04
-	// drainPollInterval is the pause between two looks at what is still running.
+	// drainPollInterval is the time between two checks for requests that still run.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// drain ends the process in order: unready first, requests that come are still served,
-// each on its last connection; later ones are refused; then what runs is waited for.
+// drain shuts the process down gracefully: it becomes unready, still serves new requests but
+// closes each one's connection, later refuses new requests, and waits for the running ones.
 func (p *Process) drain() {
 	began := time.Now()
 	grace := p.settings.Load().Leaving.GraceSeconds
 	deadline := began.Add(seconds((1 - exitMargin) * grace))
 	p.gateway.Drain(deadline)
-	p.log.WithField("event", "leaving").WithField("active", p.gateway.Active()).Info("router leaves")
+	p.log.WithField("event", "leaving").WithField("active", p.gateway.Active()).Info("draining")
 	time.Sleep(time.Until(began.Add(seconds(refuseLateAfter * grace))))
 	p.gateway.RefuseLateRequests()
 	for p.gateway.Active()+p.openHandovers() > 0 && time.Now().Before(deadline) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// openHandovers is the number of connections that other routers serve through this one.
+// openHandovers returns the number of connections that other routers serve through this one.
 func (p *Process) openHandovers() int64 {
 	if p.handover == nil {
 		return 0
--- a/pkg/gatewayd/endpoint.go
+++ b/pkg/gatewayd/endpoint.go
@@ -11,14 +11,14 @@
 	"github.com/flamingowind/flamingowind/pkg/admission"
 )
 
-// Bounds of the servers' connections.
+// Limits of the servers' connections.
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the time to read a request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than any configured one: a connection that is closed while a
-	// caller sends on it costs that request, an idle one only a few kilobytes.
+	// idleTimeout is longer than any configured one: closing a connection while a caller sends on
+	// it loses that request, and an idle connection takes only a few kilobytes.
 	idleTimeout = time.Minute
-	// maxHeader bounds a request's head, in bytes.
+	// maxHeader bounds a request's header, in bytes.
 	maxHeader = 64 << 10
 )
 
@@ -43,14 +43,14 @@
 	}}
 }
 
-// connCounter counts the open connections of a face.
+// connCounter counts the open connections of an endpoint.
 type connCounter struct {
 	open atomic.Int64
-	// limit is the number from which on connections are not kept.
+	// limit is the number of connections above which they are not kept alive.
 	limit atomic.Int64
 }
 
-// observe is a server's hook for the states of its connections.
+// observe is a server's ConnState hook.
 func (c *connCounter) observe(conn net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateActive:
@@ -64,10 +64,10 @@
 	}
 }
 
-// overLimit reports whether there are more connections than should be kept.
+// overLimit reports whether more connections are open than should be kept alive.
 //
-// Guard: callers open a new connection for each retry and keep the old ones. Kept by us
-// as well, thousands of idle ones take the process's descriptors, new callers wait for
-// seconds to be accepted, and their memory is that of hundreds of requests. Answers that
-// say that their connection closes end it without a request crossing the close.
+// Callers open a new connection for each retry and keep the old ones. If the router kept them
+// too, thousands of idle connections would exhaust its file descriptors, new callers would wait
+// for seconds to be accepted, and the memory of hundreds of requests would be lost. A response
+// that announces the close ends its connection without a race with the next request.
 func (c *connCounter) overLimit() bool { return c.open.Load() > c.limit.Load() }
--- a/pkg/gatewayd/entries.go
+++ b/pkg/gatewayd/entries.go
@@ -7,14 +7,14 @@
 	"github.com/flamingowind/flamingowind/pkg/fleet"
 )
 
-// maxEntries is the most addresses that a caller takes in one answer.
+// maxEntries is the largest number of addresses that a caller accepts in one response.
 const maxEntries = 64
 
-// entries gives the addresses that callers may use.
+// entries returns the router addresses that callers may use.
 func (p *Process) entries(string) []string {
 	candidates, known := p.fleet.RecentlyAlive()
 	if len(candidates) == 0 && known > smallFleet {
-		return nil // cut off from a large fleet: others can tell callers more
+		return nil // partitioned from a large fleet: other routers know more addresses
 	}
 	candidates = append(candidates, fleet.MemberState{Member: p.fleet.Self(), Ready: p.gateway.Ready(), CPUStarved: p.cpu.starved()})
 	return sample(addresses(preferUnstarved(strongRouters(onlyReady(candidates)))))
@@ -24,7 +24,7 @@
 	return slices.DeleteFunc(list, func(e fleet.MemberState) bool { return !e.Ready })
 }
 
-// preferUnstarved leaves out routers that get too little processor, unless that is most of them.
+// preferUnstarved drops CPU-starved routers, unless they are the majority.
 func preferUnstarved(list []fleet.MemberState) []fleet.MemberState {
 	unstarved := slices.DeleteFunc(slices.Clone(list), func(e fleet.MemberState) bool { return e.CPUStarved })
 	if 2*len(unstarved) < len(list) {
@@ -33,20 +33,19 @@
 	return unstarved
 }
 
-// Figures of strongest.
+// Parameters of strongRouters.
 const (
-	// strongPowerShare is the part of the strongest router's CPU from which on a router counts as
-	// strong.
+	// strongPowerShare is the part of the strongest router's CPU that makes a router strong.
 	strongPowerShare = 0.5
-	// minStrongRouters is how many must be named: callers need others when one fails.
+	// minStrongRouters is the least number to offer: callers need alternatives when one fails.
 	minStrongRouters = 8
 )
 
-// strongRouters gives the strong routers of a large fleet.
+// strongRouters returns the strong routers of a large fleet.
 //
-// Guard: callers choose among the addresses by chance, and hosts of a large fleet are
-// unequal. The smallest would get as much as those with four times their processor, and
-// fall behind. The strong ones bear all callers; when most of them are pressed, all do.
+// Callers choose among the addresses at random, and hosts of a large fleet are unequal. The
+// smallest would get as much load as those with four times their CPU, and fall behind. So the
+// strong routers serve all callers; when most of them are CPU-starved, all routers do.
 func strongRouters(list []fleet.MemberState) []fleet.MemberState {
 	if len(list) <= smallFleet {
 		return list
@@ -80,10 +79,10 @@
 	return addrs
 }
 
-// sample gives at most maxEntries of list, others each time.
+// sample returns at most maxEntries of list, chosen at random.
 //
-// Guard: in a larger fleet callers would refuse the whole answer, or all take the same
-// first addresses and leave the other routers without work.
+// In a larger fleet callers would refuse the whole response, or all use the same first addresses
+// and leave the other routers without load.
 func sample(list []string) []string {
 	if len(list) <= maxEntries {
 		return list
--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -13,19 +13,19 @@
 	"github.com/flamingowind/flamingowind/pkg/handover"
 )
 
-// handoverEndpoint names the address for connections that other routers pass on.
+// handoverEndpoint names the endpoint for connections that other routers hand over.
 const handoverEndpoint = "handover"
 
 const (
-	// handoverDelay is the lateness from which on new connections are passed on: well before
-	// callers are sent elsewhere.
+	// handoverDelay is the CPU delay above which new connections are handed over. It is well
+	// below starvedDelay, at which callers are sent to other routers.
 	handoverDelay = 30 * time.Millisecond
-	// targetsTTL is how long the choice of routers that take connections holds.
+	// targetsTTL is how long the list of handover targets is cached.
 	targetsTTL = 50 * time.Millisecond
 )
 
-// bindHandover listens for connections that others pass on, and has l pass on those that this
-// router has no processor for.
+// bindHandover listens for connections that other routers hand over, and makes l hand over those
+// that this router lacks the CPU for.
 func (p *Process) bindHandover(l *admission.Listener) error {
 	s := p.settings.Load()
 	if s.Listen.Handover == "" {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// handoverTargets gives the routers that take connections: those of the own zone, or others
-// where that has none. One that is late itself takes none, nor one with an older configuration.
+// handoverTargets returns the routers that accept connections: those of the own zone, or of other
+// zones where it has none. CPU-starved routers and those with an older configuration are left out.
 func (p *Process) handoverTargets() []handover.Target {
 	members, _ := p.fleet.RecentlyAlive()
 	var sameZone, otherZones []handover.Target
@@ -79,7 +79,7 @@
 	return otherZones
 }
 
-// targetCache keeps the choice of routers for a while.
+// targetCache caches the handover targets for targetsTTL.
 type targetCache struct {
 	find   func() []handover.Target
 	cached atomic.Pointer[targetList]
@@ -90,7 +90,7 @@
 	list []handover.Target
 }
 
-// get gives the routers that take connections. The list must not be changed.
+// get returns the handover targets. Callers must not modify the list.
 func (t *targetCache) get() []handover.Target {
 	now := time.Now()
 	if cached := t.cached.Load(); cached != nil && now.Sub(cached.at) < targetsTTL {
@@ -101,7 +101,7 @@
 	return list.list
 }
 
-// handoverStats tells how many connections were passed on to other routers.
+// handoverStats reports how many connections were handed over to other routers.
 type handoverStats struct {
 	counts        func() (taken, failed int64)
 	open          func() int64
@@ -121,5 +121,5 @@
 	}
 	h.taken, h.failed = taken, failed
 	h.counter.Inc(newTaken)
-	h.log.WithFields(log.Fields{"event": "connections_handed_over", "connections": newTaken, "untaken": newFailed, "open": h.open()}).Info("connections were passed on to other routers")
+	h.log.WithFields(log.Fields{"event": "connections_handed_over", "connections": newTaken, "untaken": newFailed, "open": h.open()}).Info("connections were handed over to other routers")
 }
--- a/pkg/gatewayd/heldupstreams.go
+++ b/pkg/gatewayd/heldupstreams.go
@@ -2,7 +2,7 @@
 
 import "github.com/uber-go/tally/v4"
 
-// heldUpstreams counts upstreams that were kept though they were missing from the list.
+// heldUpstreams counts upstreams that stayed in use although the list lacked them.
 type heldUpstreams struct {
 	count    func() int64
 	counter  tally.Counter
--- a/pkg/gatewayd/housekeeping.go
+++ b/pkg/gatewayd/housekeeping.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// housekeepingInterval is the pause between two rounds that forget what is past.
+// housekeepingInterval is the time between two rounds of pruning and reporting.
 const housekeepingInterval = 2 * time.Second
 
 func (p *Process) housekeeping(ctx context.Context) {
@@ -19,7 +19,7 @@
 			p.prefixIndex.Prune(now)
 			p.health.Prune(p.catalog.Instances())
 			p.local.loads.Prune(p.catalog.Instances())
-			p.fleet.Membership(now) // notices when this router sees little of its fleet
+			p.fleet.Membership(now) // detects when this router sees little of its fleet
 			p.logDrops.report()
 			p.storeCalls.report()
 			p.linkUsage.report()
--- a/pkg/gatewayd/linkusage.go
+++ b/pkg/gatewayd/linkusage.go
@@ -9,35 +9,36 @@
 	"github.com/flamingowind/flamingowind/pkg/traffic"
 )
 
-// minLoggedBytes is the traffic between two rounds of housekeeping from which on a line is written,
-// in bytes.
+// minLoggedBytes is the least traffic between two rounds of housekeeping that is logged, in bytes.
 const minLoggedBytes = 256 << 10
 
-// linkUsage tells what the bytes on a router's connections are for.
+// linkUsage reports the traffic on a router's connections by kind.
 type linkUsage struct {
 	sources []trafficSource
-	// paused is how long nobody was let in so far, as callers filled the link; nil where nobody tells.
+	// paused returns how long no connection was accepted so far because callers filled the link;
+	// nil where that is not measured.
 	paused        func() time.Duration
 	reportedPause time.Duration
 	scope         tally.Scope
 	log           log.Interface
 }
 
-// trafficSource is one count of traffic; kinds may have several.
+// trafficSource is one traffic counter; a kind may have several.
 type trafficSource struct {
 	kind     string
 	count    func() traffic.Bytes
 	reported traffic.Bytes
 }
 
-// watch adds a count of traffic of a kind; nil counts nothing. It must not be called once tell is.
+// watch adds a traffic counter of a kind; nil is ignored. It must not be called after the first
+// report.
 func (u *linkUsage) watch(kind string, count func() traffic.Bytes) {
 	if count != nil {
 		u.sources = append(u.sources, trafficSource{kind: kind, count: count})
 	}
 }
 
-// report brings the counters up to date, and writes a line when there was much traffic.
+// report updates the metrics, and logs the traffic when it reaches minLoggedBytes.
 func (u *linkUsage) report() {
 	byKind := make(map[string]traffic.Bytes)
 	all := int64(0)
@@ -62,11 +63,11 @@
 		u.scope.Tagged(map[string]string{"kind": kind, "direction": "received"}).Counter("traffic_bytes").Inc(b.Received)
 	}
 	if all >= minLoggedBytes {
-		u.log.WithFields(fields).Info("bytes on connections since the last look")
+		u.log.WithFields(fields).Info("traffic since the last housekeeping round")
 	}
 }
 
-// bytesFromCallers counts the bytes that came from callers, also by way of other routers.
+// bytesFromCallers returns the bytes received from callers, including connections handed over.
 func (p *Process) bytesFromCallers() int64 {
 	all := int64(0)
 	for _, count := range p.callerTraffic {
--- a/pkg/gatewayd/listen.go
+++ b/pkg/gatewayd/listen.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Probes of silent connections, those that Go's listeners ask for on their own.
+// Keep-alive parameters, equal to the defaults of Go's listeners.
 const (
-	// keepAliveIdle is the silence after which a connection is probed, keepAliveInterval the pause
-	// between two probes and keepAliveCount how many may stay without a response.
+	// keepAliveIdle is the idle time after which a connection is probed, keepAliveInterval the time
+	// between two probes and keepAliveCount the number of unanswered probes that closes it.
 	keepAliveIdle     = 15 * time.Second
 	keepAliveInterval = 15 * time.Second
 	keepAliveCount    = 9
 )
 
-// listenBacklog opens an address for callers, where at most backlog connections wait to be accepted.
+// listenBacklog listens for callers, with at most backlog connections waiting to be accepted.
 //
-// The standard library has no option for that number.
+// The standard library has no option for the backlog.
 func listenBacklog(addr string, backlog int) (*net.TCPListener, error) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -35,7 +35,7 @@
 		return nil, errors.Trace(err)
 	}
 	file := os.NewFile(uintptr(fd), addr)
-	defer file.Close() // the listener has a descriptor of its own
+	defer file.Close() // the listener duplicates the descriptor
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -55,7 +55,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// sockaddr gives an address as the kernel takes it, with its family.
+// sockaddr converts an address to a kernel socket address and its family.
 func sockaddr(addr netip.AddrPort) (family int, sa unix.Sockaddr) {
 	ip, port := addr.Addr().Unmap(), int(addr.Port())
 	if ip.Is4() {
@@ -64,8 +64,8 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: ip.As16()}
 }
 
-// listen opens an address. The options for probes are set on the listener: an accepted
-// connection inherits them, which saves the system calls for each.
+// listen opens a listener with keep-alive options. Accepted connections inherit them, which saves
+// the system calls for each connection.
 func listen(addr string) (*net.TCPListener, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: controlKeepAlive}
 	l, err := config.Listen(context.Background(), "tcp", addr)
@@ -75,7 +75,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// controlKeepAlive makes the connections of a listener find out that they went silent.
+// controlKeepAlive enables keep-alive probes, so that connections to lost hosts are closed.
 func controlKeepAlive(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	err := raw.Control(func(fd uintptr) { optionErr = setKeepAlive(int(fd)) })
--- a/pkg/gatewayd/localstate.go
+++ b/pkg/gatewayd/localstate.go
@@ -15,7 +15,7 @@
 	"github.com/flamingowind/flamingowind/pkg/wire"
 )
 
-// localState joins the fleet's reports to the parts that decide.
+// localState connects the fleet's reports with the components that use them.
 type localState struct {
 	catalog     *catalog.Catalog
 	loads       *placement.LoadTracker
@@ -28,10 +28,10 @@
 	demand     *demand
 	ready      func() bool
 	cpuStarved func() bool
-	// documents are what peers are given, and have given.
+	// documents caches the encoded configurations and lists exchanged with peers.
 	documents documents
 	log       log.Interface
-	// newerPeers takes peers that know more than this router.
+	// newerPeers receives peers that have a newer configuration or list.
 	newerPeers chan newerPeer
 }
 
@@ -43,7 +43,7 @@
 	asOf time.Time
 }
 
-// Describe fills in what a report says of this router's work.
+// Describe fills in a report of this router's state and work.
 func (ls *localState) Describe(r *fleet.Report) {
 	r.Ready, r.CPUStarved = ls.ready(), ls.cpuStarved()
 	r.Config, r.Instances = ls.catalog.Version(), int64(ls.catalog.InstancesRevision())
@@ -67,7 +67,7 @@
 	}
 }
 
-// instanceLoads gives this router's work and what it has seen of engines' speed, by life.
+// instanceLoads returns this router's work and its measured prefill times, by instance life.
 func (ls *localState) instanceLoads(now time.Time) []fleet.InstanceLoad {
 	own, times := ls.loads.Own(), ls.estimator.Own(now)
 	list := make([]fleet.InstanceLoad, 0, len(own)+len(times))
@@ -87,7 +87,7 @@
 		PauseWeight: load.PauseWeight, LongPrompts: load.LongPrompts, BaseMs: int(math.Round(times.Base)), ActualMs: int(math.Round(times.Actual))}
 }
 
-// NewPrefixes gives prompts newly read since the last call.
+// NewPrefixes returns the prompt prefixes cached since the last call.
 func (ls *localState) NewPrefixes() []fleet.CachedPrefix {
 	unreported := ls.prefixIndex.TakeUnreported()
 	list := make([]fleet.CachedPrefix, 0, len(unreported))
@@ -97,7 +97,7 @@
 	return list
 }
 
-// AddPrefixes takes what other routers' engines have read.
+// AddPrefixes merges the cached prefixes that other routers report.
 func (ls *localState) AddPrefixes(list []fleet.CachedPrefix) {
 	prefixes := make([]placement.CachedPrefix, 0, len(list))
 	for _, r := range list {
@@ -109,16 +109,16 @@
 // maxSuspects bounds the suspects in one report.
 const maxSuspects = 256
 
-// Suspects gives contents that ran on upstreams which broke off.
+// Suspects returns contents of requests that ran on upstreams which broke off.
 func (ls *localState) Suspects() []wire.Suspicion {
 	list := ls.quarantine.Snapshot()
 	return list[:min(len(list), maxSuspects)]
 }
 
-// MergeSuspects takes those of another router.
+// MergeSuspects merges the suspects of another router.
 func (ls *localState) MergeSuspects(list []wire.Suspicion) { ls.quarantine.Merge(list) }
 
-// SetOthers takes what all other routers do and have seen.
+// SetOthers sets the combined work and measurements of all other routers.
 func (ls *localState) SetOthers(totals fleet.Totals) {
 	loads := make(map[upstream.Life]placement.Load, len(totals.Loads))
 	times := make(map[upstream.Life]pace.Times, len(totals.Loads))
@@ -142,7 +142,8 @@
 	ls.estimator.SetOthersPauses(pauses)
 }
 
-// decodeInflows reads what others give to the instances of services. Those that can't be are left out.
+// decodeInflows decodes the work that other routers assign to services. Implausible values are
+// left out.
 func decodeInflows(reported map[string]fleet.Inflow) map[string]placement.Inflow {
 	decoded := make(map[string]placement.Inflow, len(reported))
 	for service, f := range reported {
@@ -154,17 +155,17 @@
 }
 
 const (
-	// maxInflow bounds what is believed of an inflow, in seconds of work: that of ten thousand
-	// instances.
+	// maxInflow bounds a plausible inflow, in seconds of work: that of ten thousand instances.
 	maxInflow = 10_000
-	// maxOverShare bounds it in requests a second: a hundred for each of those.
+	// maxOverShare bounds a plausible over-share rate, in requests a second: a hundred for each of
+	// those instances.
 	maxOverShare = 1_000_000
 )
 
-// maxZones bounds the evacuated and the restored zones that are believed of a peer.
+// maxZones bounds the evacuated and the restored zones that are accepted from a peer.
 const maxZones = 1000
 
-// MergeEvacuated takes the evacuated and the restored zones that another router knows of.
+// MergeEvacuated merges the evacuated and the restored zones that another router reports.
 func (ls *localState) MergeEvacuated(peer fleet.Member, zones []string, revision int64, restored []fleet.RestoredZone) {
 	if len(zones) <= maxZones {
 		ls.catalog.Evacuate(zones, catalog.Revision(revision), "peer "+peer.Name)
@@ -174,16 +175,16 @@
 	}
 }
 
-// StoreContacted takes when another router heard the operators' store.
+// StoreContacted records when another router was in contact with the operators' store.
 func (ls *localState) StoreContacted(since, until time.Time) {
 	ls.catalog.Vouch(catalog.Contact{Since: since, Until: until})
 }
 
-// PeerVersions notes a peer that knows more. The channel holds one: while a peer is asked,
-// further ones are not needed, and reports come again.
+// PeerVersions queues a peer that has a newer configuration or list. The channel holds one: during
+// a request further peers are not needed, and reports repeat.
 //
-// A peer with the same list says how old it is. Without that a list that doesn't change
-// would seem old everywhere but at the routers that read it, and all would ask the store.
+// A peer with the same list confirms when it was current. Otherwise an unchanged list would look
+// stale to all routers except those that read the store, and all of them would query it.
 func (ls *localState) PeerVersions(r *fleet.Report, asOf time.Time) {
 	ls.catalog.HearOf(r.Config)
 	if own := int64(ls.catalog.InstancesRevision()); r.Instances == own || r.Instances > own && own >= r.ListSince && r.ListSince > 0 {
@@ -198,8 +199,8 @@
 	}
 }
 
-// lacks reports whether a peer with these versions knows more. The revision of the list
-// grows with every write to the store, so a peer is asked only once the own copy is old.
+// lacks reports whether a peer with these versions has newer data. The revision of the list grows
+// with every write to the store, so a newer list counts only once the own copy is stale.
 func (ls *localState) lacks(config, instances int64) bool {
 	if config > ls.catalog.Version() {
 		return true
--- a/pkg/gatewayd/logdrops.go
+++ b/pkg/gatewayd/logdrops.go
@@ -5,8 +5,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// logDrops tells how many log lines were dropped as nobody read them. Without it a gap in
-// the log looks like a quiet time.
+// logDrops reports how many log lines were dropped because their reader was too slow. Otherwise a
+// gap in the log looks like an idle period.
 type logDrops struct {
 	count    func() int64
 	reported int64
--- a/pkg/gatewayd/pauses.go
+++ b/pkg/gatewayd/pauses.go
@@ -7,8 +7,8 @@
 	"github.com/flamingowind/flamingowind/pkg/pace"
 )
 
-// encodePauses gives what reports say of the pauses at a service's engines, without the empty
-// buckets at the end.
+// encodePauses encodes the pauses at a service's engines for a report, without trailing empty
+// buckets.
 func encodePauses(service string, p pace.Pauses) fleet.Pauses {
 	reported := fleet.Pauses{Service: service}
 	for i := range pace.PauseBuckets {
@@ -23,7 +23,7 @@
 	return reported
 }
 
-// decodePauses reads them; buckets beyond those that are known are left out.
+// decodePauses decodes reported pauses and ignores unknown buckets.
 func decodePauses(reported fleet.Pauses) pace.Pauses {
 	var p pace.Pauses
 	for i := range min(pace.PauseBuckets, len(reported.Ms), len(reported.Count)) {
