--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -27,28 +27,28 @@
 	"github.com/flamingowind/flamingowind/pkg/warmup"
 )
 
-// Faces are the handlers that speak a deployment's own words.
+// Faces holds constructors of the handlers whose format depends on the deployment.
 type Faces struct {
 	Entries   func(current func(zone string) []string, keepSeconds func() float64) http.Handler
 	Readiness func(ready func() bool) http.Handler
 }
 
-// Deployment is what an adapter provides.
+// Deployment holds what a deployment's adapter provides.
 type Deployment struct {
 	Store    catalog.Store
 	Registry fleet.Registry
 	Dialect  gateway.Dialect
 	Faces    Faces
-	// Readdress makes Store and Registry use another address of the operators' store.
+	// Readdress changes the address of the operators' store that Store and Registry use.
 	Readdress func(addr string)
-	// RowFaults counts changes of the store's rows, beside the list of upstreams, to ones
-	// that can't be used; nil for none.
+	// RowFaults returns how often rows of the store, other than the list of upstreams, became
+	// unusable; nil for none.
 	RowFaults func() int64
-	// StoreCalls counts calls to the store so far by kind; nil for none.
+	// StoreCalls returns the number of calls to the store by kind; nil for none.
 	StoreCalls func() map[string]int64
-	// StoreTraffic is what the connections to the store carried so far; nil where nobody counts.
+	// StoreTraffic returns the traffic on connections to the store; nil where it isn't counted.
 	StoreTraffic func() traffic.Bytes
-	// LinesDropped counts log lines that a slow reader cost so far; nil for none.
+	// LinesDropped returns the number of log lines dropped because of a slow reader; nil for none.
 	LinesDropped func() int64
 }
 
@@ -56,7 +56,7 @@
 type Process struct {
 	settings atomic.Pointer[Settings]
 	log      log.Interface
-	// setStoreAddr is the deployment's.
+	// setStoreAddr is Deployment.Readdress.
 	setStoreAddr func(addr string)
 	metrics      *telemetry.Metrics
 	catalog      *catalog.Catalog
@@ -69,7 +69,7 @@
 	local        *localState
 	fleet        *fleet.Fleet
 	exchange     *fleet.Exchanger
-	// peerTraffic counts what other routers ask of this one.
+	// peerTraffic counts the traffic on connections that other routers open.
 	peerTraffic traffic.Meter
 	joiner      *fleet.Joiner
 	endpoints   []*endpoint
@@ -77,18 +77,18 @@
 	storeCalls  storeCalls
 	linkUsage   linkUsage
 	rowFaults   *rowFaults
-	// held counts upstreams that were kept though they were missing from the list.
+	// held counts upstreams that stayed in use although the list lacked them.
 	held heldUpstreams
-	// rejections tells of callers' connections that were not let in.
+	// rejections reports callers' connections that were rejected.
 	rejections rejections
-	// handover passes callers' connections on, nil where it doesn't.
+	// handover hands callers' connections over to other routers; nil where that is disabled.
 	handover      *handover.Relay
 	handoverStats handoverStats
-	// shareUsage tells of organisations over their share.
+	// shareUsage reports organisations over their share.
 	shareUsage shareUsage
-	// conns counts callers' connections, cpu watches the delay of work that waits for the CPU.
+	// conns counts callers' connections; cpu, below, measures how long work waits for the CPU.
 	conns connCounter
-	// callerLink is the link as callers use it, callerTraffic counts what comes from them.
+	// callerLink measures callers' use of the link; callerTraffic counts their traffic.
 	callerLink    *admission.Link
 	callerTraffic []func() traffic.Bytes
 	cpu           cpuMonitor
@@ -139,15 +139,15 @@
 	return p, errors.Trace(p.bind(d.Faces))
 }
 
-// addKnownPeers makes the fleet ask at addresses where routers may live.
+// addKnownPeers adds addresses where routers may run to the fleet's members.
 func (p *Process) addKnownPeers(addrs []string) {
 	for _, addr := range addrs {
 		p.fleet.AddMembers([]fleet.Member{{Peers: addr}})
 	}
 }
 
-// softMemoryShare is the part of the memory limit at which the runtime collects at all costs;
-// the rest is for the kernel's buffers, which count as well.
+// softMemoryShare is the part of the memory limit that is set as the runtime's soft limit. The rest
+// is for the kernel's buffers, which count towards the limit as well.
 const softMemoryShare = 0.7
 
 func gatewaySettings(s Settings) gateway.Settings {
@@ -164,7 +164,7 @@
 	}
 }
 
-// callersEndpoint names the address for callers, peersEndpoint that for other routers.
+// callersEndpoint names the endpoint for callers, peersEndpoint that for other routers.
 const (
 	callersEndpoint = "callers"
 	peersEndpoint   = "peers"
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// metricsHandler serves metrics and status, and profiles where they are switched on.
+// metricsHandler serves metrics and status, and profiles where they are enabled.
 func (p *Process) metricsHandler() http.Handler {
 	h := status.Handler(p.status, p.metrics, p.log)
 	if p.settings.Load().Listen.Profile {
@@ -246,12 +246,12 @@
 		Zone: s.Router.Zone, Started: time.Now().UnixNano(), Power: s.Limits.Cores, Handover: s.Listen.Handover}
 }
 
-// Run serves until ctx ends, then leaves in order.
+// Run serves until ctx ends, then shuts down gracefully.
 func (p *Process) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := p.settings.Load()
-	p.log.WithFields(log.Fields{"event": "start", "callers": s.Listen.Callers, "metrics": s.Listen.Metrics, "zone": s.Router.Zone}).Info("router starts")
+	p.log.WithFields(log.Fields{"event": "start", "callers": s.Listen.Callers, "metrics": s.Listen.Metrics, "zone": s.Router.Zone}).Info("router starting")
 	p.goBackground(func() { p.watcher.WatchConfig(background) })
 	p.goBackground(func() { p.watcher.WatchInstances(background) })
 	p.goBackground(func() { p.pools.Run(background, p.catalog.Instances) })
@@ -268,7 +268,7 @@
 	cancel()
 	p.background.Wait()
 	p.storeCalls.writeLog()
-	p.log.WithField("event", "stop").Info("router has stopped")
+	p.log.WithField("event", "stop").Info("router stopped")
 	return nil
 }
 
@@ -286,7 +286,7 @@
 	}
 }
 
-// capacity is what all engines are declared to do together, in tokens a second; 0 without a
+// capacity returns the declared capacity of all engines together, in tokens a second; 0 without a
 // configuration.
 func (p *Process) capacity() float64 {
 	table := p.catalog.Table()
--- a/pkg/gatewayd/rejections.go
+++ b/pkg/gatewayd/rejections.go
@@ -8,12 +8,12 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// rejections tells how many connections of callers were turned away unread. Their requests
-// have no line of their own, as nobody read them.
+// rejections reports how many connections of callers were rejected unread. Their requests have no
+// log lines of their own because they were not read.
 type rejections struct {
 	counts func() (refused, closed int64)
-	// meanTime is the mean time that a rejection takes, coreShare the part of a core that the
-	// process gets.
+	// meanTime returns the mean time of a rejection, coreShare the part of a core that the process
+	// gets.
 	meanTime        func() time.Duration
 	coreShare       func() float64
 	refused, closed int64
@@ -32,5 +32,5 @@
 	t.log.WithFields(log.Fields{
 		"event": "connections_turned_away", "refused": newRefused, "closed": newClosed,
 		"each_us": t.meanTime().Microseconds(), "core_percent": int(math.Round(100 * t.coreShare())),
-	}).Warn("connections were turned away for want of processor")
+	}).Warn("connections were rejected for lack of CPU")
 }
--- a/pkg/gatewayd/reload.go
+++ b/pkg/gatewayd/reload.go
@@ -10,8 +10,8 @@
 	"github.com/flamingowind/flamingowind/pkg/reload"
 )
 
-// WatchSettings puts the settings of w's file in force whenever now is sent to, and when
-// its content has changed, until ctx ends.
+// WatchSettings applies the settings of w's file whenever now receives a signal, and when the
+// content has changed, until ctx ends.
 func (p *Process) WatchSettings(ctx context.Context, w *reload.Watcher, now <-chan os.Signal) {
 	apply := func(content []byte) error {
 		s, err := ParseSettings(w.File(), content)
@@ -24,7 +24,8 @@
 	w.Run(ctx, now, apply, p.log)
 }
 
-// Reload puts s in force as far as a running process can; what needs a restart is told.
+// Reload applies the settings that can change in a running process, and logs the sections that need
+// a restart.
 func (p *Process) Reload(s Settings) {
 	old := p.settings.Load()
 	needs := needRestart(*old, s)
@@ -37,7 +38,7 @@
 	if s.Store.Addr != old.Store.Addr && p.setStoreAddr != nil {
 		p.setStoreAddr(s.Store.Addr)
 	}
-	p.log.WithFields(log.Fields{"event": "reload", "store": s.Store.Addr, "needs_restart": needs}).Info("settings read again")
+	p.log.WithFields(log.Fields{"event": "reload", "store": s.Store.Addr, "needs_restart": needs}).Info("settings reloaded")
 }
 
 // needRestart names the sections that differ and can't be changed while the process runs.
--- a/pkg/gatewayd/restorations.go
+++ b/pkg/gatewayd/restorations.go
@@ -10,7 +10,7 @@
 // maxRestoredMs bounds the age of a restoration, in milliseconds.
 const maxRestoredMs = 3_600_000
 
-// encodeRestorations gives the restorations of the last while as reports tell them.
+// encodeRestorations encodes the recent restorations of zones for a report.
 func encodeRestorations(c *catalog.Catalog, now time.Time) []fleet.RestoredZone {
 	var zones []fleet.RestoredZone
 	for _, r := range c.Restorations(now) {
@@ -19,11 +19,11 @@
 	return zones
 }
 
-// decodeRestorations gives what a report tells of restorations.
+// decodeRestorations decodes the restorations in a report.
 func decodeRestorations(zones []fleet.RestoredZone, now time.Time) []catalog.Restoration {
 	list := make([]catalog.Restoration, 0, len(zones))
 	for _, z := range zones {
-		// A restoration of the future is one of now, and one of long ago is too old to matter.
+		// A time in the future counts as now; an age over the maximum is too old to matter.
 		age := time.Duration(min(max(0, z.AgeMs), maxRestoredMs)) * time.Millisecond
 		list = append(list, catalog.Restoration{Zone: z.Zone, Revision: catalog.Revision(z.Revision), At: now.Add(-age)})
 	}
--- a/pkg/gatewayd/rowfaults.go
+++ b/pkg/gatewayd/rowfaults.go
@@ -10,25 +10,25 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// maxUndeclaredLines bounds the lines about undeclared services for one look.
+// maxUndeclaredLines bounds the log lines about undeclared services in one round.
 const maxUndeclaredLines = 10
 
 // faultUndeclared is the fault of an upstream whose service the configuration doesn't declare.
 const faultUndeclared = "its service isn't declared"
 
-// rowFaults tells of the store's rows that can't be used.
+// rowFaults reports unusable rows of the store.
 type rowFaults struct {
 	catalog *catalog.Catalog
-	// otherFaults counts those beside the list of upstreams; nil for none.
+	// otherFaults counts the faults of rows other than the list of upstreams; nil for none.
 	otherFaults func() int64
 	log         log.Interface
 	counter     tally.Counter
 	reported    int64
 
 	mu sync.Mutex
-	// undeclared holds the service of each life that serves what isn't declared.
+	// undeclared holds the service of each life whose service isn't declared.
 	undeclared map[upstream.Life]string
-	// undeclaredCount counts how often a life joined undeclared.
+	// undeclaredCount counts additions to undeclared.
 	undeclaredCount int64
 }
 
@@ -36,7 +36,7 @@
 	return &rowFaults{catalog: c, otherFaults: others, log: l, counter: scope.Counter("rows_unusable"), undeclared: make(map[upstream.Life]string)}
 }
 
-// fault gives why an entry names no instance to use; empty when it does.
+// fault returns why an instance is unusable; empty when it is usable.
 func (f *rowFaults) fault(in *upstream.Instance) string {
 	if in.State == upstream.Unusable {
 		return in.Fault
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// total is how often rows changed to ones that can't be used.
+// total returns how often rows became unusable.
 func (f *rowFaults) total() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,8 +58,8 @@
 	return n
 }
 
-// report looks for undeclared services and counts what is new. Configurations come apart from
-// the list, so that one which is a moment late isn't told of at all by a look now and then.
+// report finds undeclared services and updates the metric. Configurations and the list arrive
+// separately; a periodic check usually doesn't report a configuration that is only a moment late.
 func (f *rowFaults) report() {
 	f.findUndeclared()
 	total := f.total()
@@ -84,7 +84,7 @@
 		f.undeclaredCount++
 		if lines++; lines <= maxUndeclaredLines {
 			f.log.WithFields(log.Fields{"event": "service_undeclared", "instance": in.ID, "service": in.Service,
-				"config": f.catalog.Version()}).Warn("upstream's service isn't declared")
+				"config": f.catalog.Version()}).Warn("service of the upstream is not declared")
 		}
 	}
 	f.undeclared = undeclared
--- a/pkg/gatewayd/settings.go
+++ b/pkg/gatewayd/settings.go
@@ -12,7 +12,7 @@
 type Settings struct {
 	Router RouterSettings `yaml:"router"`
 	Listen ListenSettings `yaml:"listen"`
-	// Advertise is for hosts that are reached under other addresses than they listen on.
+	// Advertise is for hosts that are reached at other addresses than they listen on.
 	Advertise AdvertiseSettings `yaml:"advertise"`
 	Limits    LimitSettings     `yaml:"limits"`
 	Store     StoreSettings     `yaml:"store"`
@@ -26,12 +26,12 @@
 	Trial     TrialSettings     `yaml:"trial"`
 }
 
-// RouterSettings say who and where the router is.
+// RouterSettings identify the router and its zone.
 type RouterSettings struct {
 	Name string `yaml:"name"`
 	Zone string `yaml:"zone"`
-	// FirstStart is whether all routers start for the first time: they take turns then, so
-	// that few of them register.
+	// FirstStart is set when all routers start for the first time. They then take turns, so that
+	// few of them register.
 	FirstStart bool `yaml:"firstStart"`
 }
 
@@ -41,22 +41,22 @@
 	Readiness string `yaml:"readiness"`
 	Peers     string `yaml:"peers"`
 	Entries   string `yaml:"entries"`
-	// Handover takes connections that other routers pass on; empty for none.
+	// Handover accepts connections that other routers hand over; empty for none.
 	Handover string `yaml:"handover"`
 	// Metrics serves counters and histograms; empty for none.
 	Metrics string `yaml:"metrics"`
-	// Profile serves profiles of the process beside the metrics.
+	// Profile enables profiles of the process on the metrics address.
 	Profile bool `yaml:"profile"`
 }
 
-// AdvertiseSettings are the addresses under which others reach the router, each IP:port;
-// empty where it is the one that it listens on.
+// AdvertiseSettings are the addresses at which others reach the router, each IP:port; empty where
+// it equals the address that the router listens on.
 type AdvertiseSettings struct {
 	Callers string `yaml:"callers"`
 	Peers   string `yaml:"peers"`
 }
 
-// callers is the address that callers are told, peers the one for other routers.
+// callers returns the address advertised to callers; peers returns the one for other routers.
 func (s Settings) callers() string { return cmp.Or(s.Advertise.Callers, s.Listen.Callers) }
 
 func (s Settings) peers() string { return cmp.Or(s.Advertise.Peers, s.Listen.Peers) }
@@ -64,14 +64,14 @@
 // LimitSettings bound what the process uses.
 type LimitSettings struct {
 	MemoryMiB int `yaml:"memoryMiB"`
-	// Cores is how much processor the host gives the router, in cores; 0 when it is not
-	// known. Routers with more of it carry more of the fleet's own exchange.
+	// Cores is the CPU available to the router, in cores; 0 when it isn't known. Routers with more
+	// cores carry more of the fleet's exchange of reports.
 	Cores float64 `yaml:"cores"`
 	// LinkMbps is the speed of the host's link in each direction, in megabits a second; 0 when it
 	// isn't known.
 	LinkMbps float64 `yaml:"linkMbps"`
-	// KeptConnections is the number of callers' connections from which on answers close
-	// theirs.
+	// KeptConnections is the number of callers' connections above which responses close their
+	// connections.
 	KeptConnections int `yaml:"keptConnections"`
 }
 
@@ -80,8 +80,8 @@
 	Addr string `yaml:"addr"`
 }
 
-// RepeatSettings bound repeats over all routers: Ratio for each request, and Slack beside
-// them in each window.
+// RepeatSettings bound the retries of all routers: Ratio for each request, plus Slack in each
+// window.
 type RepeatSettings struct {
 	Ratio         float64 `yaml:"ratio"`
 	Slack         float64 `yaml:"slack"`
@@ -90,21 +90,21 @@
 
 // StreamSettings are for streams of events.
 type StreamSettings struct {
-	// EventDelayMs is how long an event may take through a router, in milliseconds; 0 when it
-	// isn't known. A router short of processor passes several events on together within it.
+	// EventDelayMs is the longest time that a router may delay an event, in milliseconds; 0 when it
+	// isn't known. A router that is short of CPU batches events within it.
 	EventDelayMs float64 `yaml:"eventDelayMs"`
 }
 
-// WarmupSettings bound what all routers together send to a cold upstream in a second: Over
-// times what its service declares, 0 for once, and Slack requests beside it.
+// WarmupSettings bound the requests per second that all routers together send to a cold upstream:
+// Over times the rate that its service declares (0 counts as 1), plus Slack requests.
 type WarmupSettings struct {
 	Over  float64 `yaml:"over"`
 	Slack float64 `yaml:"slack"`
 }
 
-// LeavingSettings say how a router ends.
+// LeavingSettings configure the graceful shutdown.
 type LeavingSettings struct {
-	// GraceSeconds is the time between the signal to stop and the end by force.
+	// GraceSeconds is the time between the signal to stop and the forced end.
 	GraceSeconds float64 `yaml:"graceSeconds"`
 }
 
@@ -115,36 +115,35 @@
 	SlotTurnMs         float64 `yaml:"slotTurnMs"`
 }
 
-// LogSettings say what is logged.
+// LogSettings configure the log.
 type LogSettings struct {
 	Level string `yaml:"level"`
 }
 
-// EntrySettings are for the answers to callers who ask where to connect.
+// EntrySettings configure the responses to callers that request router addresses.
 type EntrySettings struct {
-	// KeepSeconds is how long such an answer may be kept.
+	// KeepSeconds is how long a caller may cache such a response.
 	KeepSeconds float64 `yaml:"keepSeconds"`
-	// Known are peer addresses of routers that may be alive.
+	// Known lists peer addresses of routers that may be alive.
 	Known []string `yaml:"known"`
 }
 
-// DefaultSettings are the settings that a file changes.
+// DefaultSettings returns the defaults for settings that a file leaves out.
 func DefaultSettings() Settings {
 	return Settings{
-		// A connection costs about 25 KB; a router of the first deployments has some hundred
-		// requests at a time.
+		// A connection takes about 25 KB, and a router typically serves some hundred requests at a
+		// time.
 		Limits:  LimitSettings{KeptConnections: 300},
 		Repeats: RepeatSettings{Ratio: 0.2, WindowSeconds: 10},
 		Leaving: LeavingSettings{GraceSeconds: 8},
-		// Engines of the first deployments read 82 to 85 tokens a millisecond, less what
-		// they generate beside it.
+		// Typical engines prefill 82 to 85 tokens a millisecond, less while they also generate.
 		Engines: EngineSettings{PrefillTokensPerMs: 60, FirstEventMs: 45, SlotTurnMs: 120},
 		Log:     LogSettings{Level: "info"},
 		Entries: EntrySettings{KeepSeconds: 1},
 	}
 }
 
-// ParseSettings reads and checks the content of a YAML file; unknown keys are faults.
+// ParseSettings decodes and checks the content of a YAML file; unknown keys are errors.
 func ParseSettings(file string, content []byte) (Settings, error) {
 	s := DefaultSettings()
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.DisallowUnknownField()).Decode(&s); err != nil {
--- a/pkg/gatewayd/shareusage.go
+++ b/pkg/gatewayd/shareusage.go
@@ -11,20 +11,21 @@
 	"github.com/flamingowind/flamingowind/pkg/placement"
 )
 
-// maxLoggedOrgs is how many organisations a round tells of, those that ask most of this router.
+// maxLoggedOrgs is the number of organisations considered in a round: those that ask most of this
+// router.
 const maxLoggedOrgs = 3
 
-// shareUsage tells what organisations over their share ask of this router and get from it, beside
-// what they get from the whole fleet as far as this router knows. Without it, whether a router
-// holds an organisation back by an old or a poor picture can't be told from the logs.
+// shareUsage reports what organisations over their share ask of this router and get from it, and
+// what they get from the whole fleet as far as this router knows. Without it the logs don't show
+// whether a router limits an organisation because of outdated or incomplete data.
 type shareUsage struct {
 	shares *placement.Shares
-	// capacity is what all engines do together, in tokens a second; 0 while it isn't known.
+	// capacity returns the capacity of all engines, in tokens a second; 0 while it isn't known.
 	capacity func() float64
 	log      log.Interface
 }
 
-// report writes a line for each of the organisations that ask most, if they are over their share.
+// report logs each of the organisations that ask most, if it is over its share.
 func (u *shareUsage) report(now time.Time) {
 	capacity := u.capacity()
 	if capacity <= 0 {
@@ -45,7 +46,7 @@
 	}
 }
 
-// leastServed gives the organisation that gets least of those that ask for as much as got.
+// leastServed returns the organisation that gets least among those that ask for at least got.
 func leastServed(all map[string]placement.Use, got float64) string {
 	least := ""
 	for org, use := range all {
@@ -56,10 +57,10 @@
 	return least
 }
 
-// roundHundredths rounds for the log.
+// roundHundredths rounds x to hundredths for the log.
 func roundHundredths(x float64) float64 { return math.Round(x*100) / 100 }
 
-// topAsking gives the organisations that ask most, the first one most.
+// topAsking returns the organisations that ask most, in descending order.
 func topAsking(own map[string]placement.Use) []string {
 	names := make([]string, 0, len(own))
 	for name, use := range own {
--- a/pkg/gatewayd/status.go
+++ b/pkg/gatewayd/status.go
@@ -7,7 +7,7 @@
 	"github.com/flamingowind/flamingowind/pkg/status"
 )
 
-// status describes what the router knows now.
+// status returns the router's current status.
 func (p *Process) status() status.Status {
 	now := time.Now()
 	s := p.settings.Load()
--- a/pkg/gatewayd/storecalls.go
+++ b/pkg/gatewayd/storecalls.go
@@ -7,11 +7,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// storeCallsLogRounds is the number of rounds of housekeeping between two lines about calls to the
-// store.
+// storeCallsLogRounds is the number of housekeeping rounds between two log lines about store calls.
 const storeCallsLogRounds = 5
 
-// storeCalls tells how many calls to the operators' store this router has made, by kind.
+// storeCalls reports how many calls to the operators' store this router has made, by kind.
 type storeCalls struct {
 	counts   func() map[string]int64
 	scope    tally.Scope
@@ -21,7 +20,7 @@
 	round    int
 }
 
-// report brings the counters up to date, and writes a line now and then when there were calls.
+// report updates the metrics, and periodically logs the calls.
 func (c *storeCalls) report() {
 	if c.counts == nil {
 		return
@@ -38,7 +37,7 @@
 	}
 }
 
-// writeLog tells the log of the calls so far, if there were any since the last line.
+// writeLog logs the total calls, if there were any since the last line.
 func (c *storeCalls) writeLog() {
 	if c.counts == nil {
 		return
--- a/pkg/gatewayd/storeduties.go
+++ b/pkg/gatewayd/storeduties.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// storeReaders is how many routers wait for configurations for all, and in a small fleet read
-	// the list of upstreams. One may be cut off from the store and another be gone; the rest
-	// ask it when none tells them.
+	// storeReaders is the number of routers that wait for configurations on behalf of a large
+	// fleet, and that read the list of upstreams in a small one. One may be partitioned from the
+	// store and another may be dead; the rest query the store when no peer reports.
 	storeReaders = 3
-	// smallFleet is the largest fleet in which each router waits for configurations itself:
-	// there that costs few calls, and a change is in force as soon as the store tells it.
+	// smallFleet is the largest fleet in which each router waits for configurations itself: that
+	// costs few calls there, and a change takes effect as soon as the store returns it.
 	smallFleet = 16
-	// earlyRouters is how many routers of a large fleet ask the store first when no peer reports.
+	// earlyRouters is the number of routers of a large fleet that query the store without startupWait.
 	earlyRouters = 16
 )
 
-// turnInterval is the pause between the turns of two routers that ask the store when nobody
-// tells them: the first that is answered tells the others.
+// turnInterval is the time between the turns of two routers that query the store when no peer
+// reports: the first that gets a response reports it to the others.
 const turnInterval = 40 * time.Millisecond
 
-// idleListAge is by how much older the list of a router without work may be than that of a hub: it
-// hears of the others twice a second.
+// idleListAge is how much older the list of an idle router may be than that of a hub: an idle
+// router receives reports twice a second.
 const idleListAge = 400 * time.Millisecond
 
-// startupWait is how long a router that starts in a large fleet leaves the store to others.
+// startupWait is how long a router that starts in a large fleet waits for peers before it queries
+// the store.
 const startupWait = time.Second
 
-// joinTimeout bounds the wait for a router's place in the fleet, which its other duties follow
-// from.
+// joinTimeout bounds the wait for a router's rank in the fleet, which its other duties depend on.
 const joinTimeout = 2 * time.Second
 
-// ranking is what duties follow from.
+// ranking is the router's rank in the fleet, which determines its duties.
 type ranking interface {
-	// Count is the number of routers alive, Rank this router's place among them.
+	// Count returns the number of routers alive, Rank this router's rank among them.
 	Count() int
 	Rank() int
 }
@@ -39,12 +39,12 @@
 // storeDuties implements catalog.Duties.
 type storeDuties struct {
 	ranking ranking
-	// joined reports whether the router has found its place, as far as the store answers.
+	// joined reports whether the router knows its rank, as far as the store responds.
 	joined func() bool
 }
 
-// ReadsInstances reports whether this router reads the list of upstreams. In a large fleet
-// one does: its list changes all the time, and the next one takes over when it is silent.
+// ReadsInstances reports whether this router reads the list of upstreams. In a large fleet only one
+// does, as the list changes all the time; the next one takes over when it is silent.
 func (d storeDuties) ReadsInstances() bool {
 	if d.large() {
 		return d.ranking.Rank() == 0
@@ -52,10 +52,10 @@
 	return d.ranking.Rank() < storeReaders
 }
 
-// TellsMany reports whether many others go by what this router reads.
+// TellsMany reports whether many other routers depend on what this router reads.
 func (d storeDuties) TellsMany() bool { return d.large() && d.ReadsInstances() }
 
-// Turn is how long after the first ones this router asks the store when nobody tells it.
+// Turn returns how long after the first routers this one queries the store when no peer reports.
 func (d storeDuties) Turn() time.Duration {
 	if !d.large() {
 		return 0
@@ -67,7 +67,7 @@
 	return turn
 }
 
-// HearsFirst reports whether a router that started waited ago leaves the store to others yet.
+// HearsFirst reports whether a router that started waited ago still waits for peers' reports.
 func (d storeDuties) HearsFirst(waited time.Duration) bool {
 	if !d.joined() {
 		return waited < joinTimeout
@@ -75,7 +75,7 @@
 	return d.large() && d.ranking.Rank() >= earlyRouters && waited < startupWait
 }
 
-// Callers is how many routers ask the store when it fails.
+// Callers returns the number of routers that query the store when it fails.
 func (d storeDuties) Callers() int { return d.ranking.Count() }
 
 // ReadsConfig reports whether this router waits for configurations.
--- a/pkg/gatewayd/trial.go
+++ b/pkg/gatewayd/trial.go
@@ -2,14 +2,14 @@
 
 import "github.com/flamingowind/flamingowind/pkg/gateway"
 
-// TrialSettings are for measurements only.
+// TrialSettings disable parts of placement for experiments.
 type TrialSettings struct {
-	// Off names mechanisms that are switched off: speeds, pauses, fetch, yield,
+	// Off names the disabled mechanisms: speeds, pauses, fetch, yield,
 	// occupancy, reserve, harm, herds.
 	Off []string `yaml:"off"`
 }
 
-// mechanism returns the switch of a mechanism by its name; nil for one that is not known.
+// mechanism returns the flag that disables a named mechanism; nil for an unknown name.
 func mechanism(m *gateway.DisabledMechanisms, name string) *bool {
 	switch name {
 	case "speeds":
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// disabled gives the switches; Check has seen to it that the names are known.
+// disabled returns the flags. Check has verified the names.
 func (t TrialSettings) disabled() gateway.DisabledMechanisms {
 	var m gateway.DisabledMechanisms
 	for _, name := range t.Off {
