--- a/pkg/gatewayd/cost_bench_test.go
+++ b/pkg/gatewayd/cost_bench_test.go
@@ -24,7 +24,7 @@
 	"github.com/flamingowind/flamingowind/platform"
 )
 
-// Sizes of the fleet around the measured router: a large one.
+// Sizes of the large fleet around the measured router.
 const (
 	benchEngines       = 64
 	benchRouters       = 86
@@ -32,9 +32,9 @@
 	benchSlots         = 16
 )
 
-// A router refuses or serves requests, each on a connection of its own or on kept ones. What
-// counts is cpu-ns/op, the processor time of the router's process, and user-ns/op, its part
-// outside the kernel: callers and engines live in another one. sleeps/op are its voluntary waits, each of them a wake-up.
+// A router refuses or serves requests on new or on kept connections. cpu-ns/op is the CPU time of
+// the router's process and user-ns/op its part outside the kernel; callers and engines run in
+// another process. sleeps/op counts voluntary context switches, each followed by a wake-up.
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -67,19 +67,19 @@
 	}
 }
 
-// benchIdleConns is the number of connections that stay open beside those of requests in a crowd,
-// as a small router of the first deployments was seen to hold.
+// benchIdleConns is the number of idle connections that stay open in addition to those of requests,
+// as a small router under overload holds them.
 const benchIdleConns = 5000
 
-// benchMemoryMiB is the memory of a host, in MiB, that such a crowd fills: the collector runs
-// most of the time.
+// benchMemoryMiB is the memory limit, in MiB, that these connections fill: the garbage collector
+// runs most of the time.
 const benchMemoryMiB = 140
 
-// benchWarmUp is the number of requests before those that count.
+// benchWarmUp is the number of requests before the measured ones.
 const benchWarmUp = 200
 
 type resourceUsage struct {
-	// cpu is all processor time, user that outside the kernel.
+	// cpu is the whole CPU time, user the part outside the kernel.
 	cpu    time.Duration
 	user   time.Duration
 	sleeps int64
@@ -93,9 +93,9 @@
 	return resourceUsage{user: time.Duration(u.Utime.Nano()), cpu: time.Duration(u.Utime.Nano() + u.Stime.Nano()), sleeps: u.Nvcsw}
 }
 
-// benchRouter serves on loopback like one of many routers before engines that all have the
-// address engine. The organisation that asks is far over its share; when full, so are the
-// engines' queues.
+// benchRouter serves on loopback as one of many routers, with engines that all have the address
+// engine. The calling organisation is far over its share; with full set, the engines' queues are
+// full.
 func benchRouter(b *testing.B, engine string, full bool, memory int) *Process {
 	limit := debug.SetMemoryLimit(-1)
 	b.Cleanup(func() { debug.SetMemoryLimit(limit) })
@@ -168,7 +168,7 @@
 	return loads, uses
 }
 
-// loadGenerator is the process with the callers and the engine.
+// loadGenerator is the process that runs the callers and the engine.
 type loadGenerator struct {
 	in     io.Writer
 	out    *bufio.Reader
@@ -196,7 +196,7 @@
 	return strings.TrimSpace(text)
 }
 
-// send has n requests made, and waits for their ends.
+// send makes the load generator send n requests, and waits until they end.
 func (c *loadGenerator) send(b *testing.B, addr, mode string, n int) {
 	_, err := fmt.Fprintln(c.in, addr, mode, n)
 	require.NoError(b, err)
--- a/pkg/gatewayd/cpumonitor_test.go
+++ b/pkg/gatewayd/cpumonitor_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A small host falls behind while one caller keeps sending to it. It must send callers
-// away while it is late, and take them back soon after.
+// Guards against a small host that falls behind while a caller keeps sending to it. It must send
+// callers to other routers while it is CPU-starved, and accept them again soon after.
 func TestCPUStarvationComesAndGoes(t *testing.T) {
 	var p cpuMonitor
 	p.observe(2*time.Millisecond, checkInterval)
--- a/pkg/gatewayd/demand_test.go
+++ b/pkg/gatewayd/demand_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callers of one organisation open 400 connections a second to a small router, which reads 100 of
-// them and turns the others away unread. By what it reads the organisation asks for a quarter of
-// what it does, less than its due, and nobody gives way to it.
+// Guards against demand that is counted from read requests only. Callers of one organisation open
+// 400 connections a second to a small router, which reads 100 and rejects the others unread. Counted
+// by these, the organisation asks for less than its share, and no other is limited in its favour.
 func TestDemandFactorCountsRejectedConnections(t *testing.T) {
 	var accepted, rejected int64
 	d := &demand{counts: func() (int64, int64) { return accepted, rejected }}
--- a/pkg/gatewayd/documents_test.go
+++ b/pkg/gatewayd/documents_test.go
@@ -11,7 +11,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// configWithKey gives a configuration with one key.
+// configWithKey returns a configuration with one key.
 func configWithKey(version int64, key string) *routing.Config {
 	return &routing.Config{Version: version, Routes: []routing.Route{{Name: "r", Targets: []routing.Target{{Service: "s", Weight: 1}}}},
 		Organisations: []routing.Organisation{{Name: "org", Keys: []string{key}}}}
@@ -37,7 +37,7 @@
 	require.Equal(t, ours.digest, theirs.digest, "the reader may give it on")
 }
 
-// Guards against a reader that has other content under the version, or one that is no longer kept.
+// Guards against a delta for a receiver whose base has other content or is no longer kept.
 func TestConfigurationIsSentWholeWithoutACommonBase(t *testing.T) {
 	for name, has := range map[string]struct {
 		version int64
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against memory that grows with each version.
+// Guards against memory use that grows with each version.
 func TestFewDocumentsAreKept(t *testing.T) {
 	var d documents
 	for v := int64(1); v <= 3*maxDocuments; v++ {
@@ -68,7 +68,7 @@
 	require.Error(t, err, "its base is forgotten")
 }
 
-// Guards against routers of an upgraded part of a fleet that give the others nothing.
+// Guards against upgraded routers whose updates the routers of the previous release can't read.
 func TestRoutersThatDontReadPackedAnswersAreGivenPlainOnes(t *testing.T) {
 	sender, receiver := newLifeModel(), newLifeModel()
 	sender.catalog.Adopt(configWithKey(4, "new"), "store")
@@ -84,8 +84,8 @@
 	}
 }
 
-// Guards against a hub that packs the same list anew for each of its members, and against one that goes on to
-// give an older one.
+// Guards against a hub that compresses the same list again for each member, or that keeps sending
+// an older list.
 func TestAListIsPackedOnceForAllWhoLackIt(t *testing.T) {
 	m := newLifeModel()
 	request := fleet.CatalogRequest{Packed: true}
--- a/pkg/gatewayd/entries_test.go
+++ b/pkg/gatewayd/entries_test.go
@@ -12,8 +12,8 @@
 	"github.com/flamingowind/flamingowind/pkg/fleet"
 )
 
-// Eighty routers are ready. A caller takes 64 addresses; named the same ones each time,
-// sixteen routers would get no work.
+// Guards against routers without load: 80 routers are ready, and a caller accepts 64 addresses. If
+// all callers got the same ones, 16 routers would get no requests.
 func TestEntriesOfALargeFleet(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 50 {
@@ -31,8 +31,8 @@
 	require.Equal(t, []string{"a", "b"}, sample([]string{"a", "b"}))
 }
 
-// One router gets too little processor. Callers must not be sent there while others do
-// well; when most are short of it, all must bear their part.
+// Guards against callers that are sent to a CPU-starved router while others have spare CPU. When
+// most routers are CPU-starved, all of them are offered.
 func TestCPUStarvedRoutersAreNotOfferedToCallers(t *testing.T) {
 	list := []fleet.MemberState{memberState("a", 1), memberState("b", 1), memberState("c", 1)}
 	list[1].CPUStarved = true
@@ -43,8 +43,8 @@
 	require.Equal(t, []string{"a", "b"}, addresses(onlyReady(list)))
 }
 
-// Hosts of a large fleet are unequal. Small ones must not get as much as those with four
-// times their processor; when the strong ones have none to spare, all must bear their part.
+// Guards against small hosts of a large fleet that get as much load as those with four times their
+// CPU. When the strong routers have no spare CPU, all routers are offered.
 func TestCallersOfALargeFleetAreSentToStrongRouters(t *testing.T) {
 	var list []fleet.MemberState
 	for i := range 40 {
@@ -73,7 +73,8 @@
 	return fleet.MemberState{Member: fleet.Member{Callers: name, Power: power}, Ready: true}
 }
 
-// Nobody reads the log for a while. The engineer who reads it later must see the gap.
+// Guards against gaps in the log that look like idle periods: its reader stalls, and lines are
+// dropped.
 func TestDroppedLogLinesAreReported(t *testing.T) {
 	lines, h := int64(0), memory.New()
 	d := logDrops{count: func() int64 { return lines }, log: &log.Logger{Handler: h, Level: log.InfoLevel}, counter: tally.NoopScope.Counter("x")}
--- a/pkg/gatewayd/fleetmodel_test.go
+++ b/pkg/gatewayd/fleetmodel_test.go
@@ -23,10 +23,10 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// linkSpeed is that of the links of the model's hosts, in bytes a second.
+// linkSpeed is the link speed of the model's hosts, in bytes a second.
 const linkSpeed = 1.25e6
 
-// modelRouter is a router of the model: what it knows, and its exchange with the others.
+// modelRouter is a router of the model: its state and its exchange with the others.
 type modelRouter struct {
 	host      *modelnet.Host
 	catalog   *catalog.Catalog
@@ -92,7 +92,7 @@
 	f.background.Go(func() { r.local.catchUp(ctx, r.exchanger) })
 }
 
-// close ends the fleet.
+// close stops the fleet.
 func (f *fleetModel) close() {
 	f.end()
 	for _, r := range f.routers {
@@ -100,13 +100,13 @@
 	}
 	f.background.Wait()
 	f.network.Close()
-	time.Sleep(time.Minute) // what is under way arrives
+	time.Sleep(time.Minute) // messages in flight arrive
 }
 
-// weakest is the router that the store tells nothing and whose link others fill.
+// weakest returns the router that doesn't read the store and whose link callers fill.
 func (f *fleetModel) weakest() *modelRouter { return f.routers[len(f.routers)-1] }
 
-// randomName is a name that nobody can guess.
+// randomName returns a random name, which doesn't compress.
 func (f *fleetModel) randomName(n int) string {
 	b := make([]byte, n)
 	for i := range b {
@@ -115,7 +115,7 @@
 	return string(b)
 }
 
-// routes gives n new routes.
+// routes returns n new routes.
 func (f *fleetModel) routes(n int) []routing.Route {
 	var list []routing.Route
 	for range n {
@@ -125,7 +125,7 @@
 	return list
 }
 
-// publishConfig has the store tell the strongest routers of a configuration with n more routes.
+// publishConfig delivers a configuration with n more routes from the store to the strongest routers.
 func (f *fleetModel) publishConfig(n int) {
 	next := *f.config
 	next.Version += 3
@@ -136,7 +136,7 @@
 	}
 }
 
-// publishList has the store tell the strongest routers of the list of upstreams.
+// publishList delivers the list of upstreams from the store to the strongest routers.
 func (f *fleetModel) publishList() {
 	f.rev++
 	for _, r := range f.routers[:storeReaders] {
@@ -148,7 +148,7 @@
 	}
 }
 
-// removeUpstream has the store tell the strongest routers that an upstream has left.
+// removeUpstream delivers a list without one upstream from the store to the strongest routers.
 func (f *fleetModel) removeUpstream(i int) {
 	f.rev++
 	for _, r := range f.routers[:storeReaders] {
@@ -157,7 +157,7 @@
 	f.removed = f.list[i].ID
 }
 
-// requireRemoved fails when the weakest router still lists the upstream that has left after a time.
+// requireRemoved fails when the weakest router still lists the removed upstream after a time.
 func (f *fleetModel) requireRemoved(t *testing.T, within time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -168,7 +168,7 @@
 	t.Logf("departure: %v", time.Since(began))
 }
 
-// advance lets time pass, with news of the list each second as in a fleet at rest.
+// advance lets time pass, with an update of the list each second as in an idle fleet.
 func (f *fleetModel) advance(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		f.publishList()
@@ -176,7 +176,7 @@
 	}
 }
 
-// requireAdopted fails when the weakest router hasn't the newest configuration within a time.
+// requireAdopted fails when the weakest router doesn't get the newest configuration within a time.
 func (f *fleetModel) requireAdopted(t *testing.T, within time.Duration, what string) {
 	t.Helper()
 	began := time.Now()
--- a/pkg/gatewayd/fulllink_test.go
+++ b/pkg/gatewayd/fulllink_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a router that goes on by an older configuration, and sends requests to upstreams that
-// have left, for as long as callers fill its link.
+// Guards against a router that keeps an older configuration, and sends requests to removed upstreams,
+// as long as callers fill its link.
 func TestConfigurationsComeThroughAFullLink(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		routers int
-		// queue is how long what comes to the router waits, bound how late it may have a configuration.
+		// queue is the delay of messages to the router, bound the latest arrival of a configuration.
 		queue, bound time.Duration
 	}{
 		{"small fleet", 6, 500 * time.Millisecond, 2 * time.Second},
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards against routers that go by an older configuration, as the store's answers to all but one of them were lost.
+// Guards against routers that keep an older configuration because the store's responses to all but
+// one of them were lost.
 func TestAnyRouterPassesOnAConfigurationFromTheStore(t *testing.T) {
 	for _, routers := range []int{6, 18} {
 		synctest.Test(t, func(t *testing.T) {
--- a/pkg/gatewayd/inflow_test.go
+++ b/pkg/gatewayd/inflow_test.go
@@ -11,9 +11,8 @@
 	"github.com/flamingowind/flamingowind/pkg/placement"
 )
 
-// A peer's report says that endless work over the share is asked for, or a number that is none.
-// Believed, it would leave no part of the room for anybody, and all such work would be refused
-// while engines are idle.
+// Guards against infinite or NaN rates of over-share work in a peer's report. If they were accepted,
+// no capacity would remain for such work, and all of it would be refused while engines are idle.
 func TestImplausibleInflowsAreIgnored(t *testing.T) {
 	require.Equal(t, map[string]placement.Inflow{"llm": {Rate: 2 * time.Second, Unseen: time.Second, OverShare: 3}},
 		decodeInflows(map[string]fleet.Inflow{"llm": {Rate: 2, Unseen: 1, OverShare: 3}}))
--- a/pkg/gatewayd/life_test.go
+++ b/pkg/gatewayd/life_test.go
@@ -16,7 +16,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// lifeModel is what one router believes of one upstream that starts again under its ID.
+// lifeModel is the state that one router keeps of one upstream that restarts under the same ID.
 type lifeModel struct {
 	catalog *catalog.Catalog
 	local   *localState
@@ -32,22 +32,22 @@
 
 func (m *lifeModel) present() *upstream.Instance { return m.catalog.Instances().Get("i") }
 
-// instanceBorn is the upstream in the life that began at born.
+// instanceBorn returns the upstream in the life that began at born.
 func instanceBorn(born int64) upstream.Instance {
 	return upstream.Instance{ID: "i", Service: "s", Addr: "127.0.0.1:1", State: upstream.Ready, Born: born}
 }
 
-// promptPrefixes is a prompt's beginning.
+// promptPrefixes returns the prefixes of a prompt.
 var promptPrefixes = []placement.Prefix{{Key: 7, Tokens: 100}}
 
-// reportsOf gives a peer's report of work at a life and of a prompt that it has read.
+// reportsOf returns a peer's report of work at a life and of a prompt prefix in its cache.
 func reportsOf(in upstream.Instance) (map[fleet.LifeKey]fleet.InstanceLoad, []fleet.CachedPrefix) {
 	start := in.Life().Start
 	return map[fleet.LifeKey]fleet.InstanceLoad{{Instance: "i", Life: start}: {Instance: "i", Life: start, Running: 3, PrefillTokens: 50}},
 		[]fleet.CachedPrefix{{Key: 7, Instance: "i", Life: start}}
 }
 
-// changesOf gives what the store tells of the revisions after after up to rev: the first life is
+// changesOf returns the store's changes of the revisions after after up to rev: the first life is
 // listed at 1, the second at restart.
 func changesOf(lives []upstream.Instance, restart, after, rev int64) []upstream.Change {
 	var list []upstream.Change
@@ -59,11 +59,11 @@
 	return list
 }
 
-// An engine starts again, and its host's time of day may have gone back. The news of both
-// lives comes in any order: the store's list, peers' lists of older and newer revisions, peers'
-// work and prompts read at either life, late or more than once, and this router's own work and
-// failures. Whatever came last, the router must believe of the present life only what was said
-// of it, and the present life is the one of the newest revision.
+// Guards against state of an earlier life that is applied to the current one. An engine restarts,
+// and its host's clock may have gone back. Updates of both lives arrive in any order: the store's
+// list, peers' lists of older and newer revisions, peers' work and cached prompts at either life,
+// late or repeated, and this router's own work and failures. The current life is that of the newest
+// revision, and only updates about it count for it.
 func TestStateBelongsToTheLifeOfTheNewestRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLifeModel()
@@ -124,8 +124,8 @@
 	})
 }
 
-// Work in progress at the old life ends after the new one has begun, with failures. None of it
-// may change what is counted for the new life, nor be told to others as its load.
+// Guards against work of the old life that ends, with failures, after the new one has begun. It must
+// neither change the counts of the new life nor be reported to other routers as its load.
 func TestWorkOfAnEarlierLifeIsNotCountedForTheNext(t *testing.T) {
 	m := newLifeModel()
 	old, next := instanceBorn(5), instanceBorn(3)
--- a/pkg/gatewayd/listen_test.go
+++ b/pkg/gatewayd/listen_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A caller's host is cut off while its request is on its way. Without probes its connection
-// would stay open until a timeout of the server's own.
+// Guards against connections that stay open until a server timeout when a caller's host becomes
+// unreachable during a request.
 func TestAcceptedConnectionsAreProbed(t *testing.T) {
 	l, err := listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	require.Equal(t, 1, option(unix.IPPROTO_TCP, unix.TCP_NODELAY))
 }
 
-// Guards against thousands of callers that the kernel takes on while nobody reads what they send.
+// Guards against thousands of connections that the kernel accepts while the process reads none.
 func TestConnectionsBeyondTheBacklogAreNotTaken(t *testing.T) {
 	const backlog, callers = 4, 40
 	for _, addr := range []string{"127.0.0.1:0", "[::1]:0"} {
--- a/pkg/gatewayd/loadgen_bench_test.go
+++ b/pkg/gatewayd/loadgen_bench_test.go
@@ -17,25 +17,25 @@
 	"github.com/flamingowind/flamingowind/platform/platformtest"
 )
 
-// loadGeneratorVariable makes the test's program play the callers and the engine of benchmarks.
+// loadGeneratorVariable makes the test binary run the callers and the engine of benchmarks.
 const loadGeneratorVariable = "GATEWAYD_BENCH_CROWD"
 
 const (
-	// modeNew makes each request on a connection of its own, modeKept on kept ones. modeIdle
-	// opens connections and sends the beginning of a request on each.
+	// modeNew sends each request on a new connection, modeKept on kept ones. modeIdle opens
+	// connections and sends the beginning of a request on each.
 	modeNew  = "new"
 	modeKept = "kept"
 	modeIdle = "idle"
-	// generatorCallers is how many requests there are at a time.
+	// generatorCallers is the number of concurrent requests.
 	generatorCallers = 8
 	// requestBodySize is the size of a request's body, in bytes.
 	requestBodySize = 8 << 10
-	// partialRequestSize is how much of its request an idle connection brings, in bytes.
+	// partialRequestSize is the size of the partial request on an idle connection, in bytes.
 	partialRequestSize = 100
-	// responseEvents and eventPause are the events of a response and the pause between two.
+	// responseEvents is the number of events in a response, eventPause the pause between two.
 	responseEvents = 4
 	eventPause     = 2 * time.Millisecond
-	// generatorTimeout ends a benchmark whose router doesn't answer.
+	// generatorTimeout ends a benchmark whose router doesn't respond.
 	generatorTimeout = 20 * time.Second
 )
 
@@ -47,7 +47,7 @@
 	os.Exit(m.Run())
 }
 
-// runLoadGenerator tells the engine's address, then does one order a line: ADDRESS MODE REQUESTS.
+// runLoadGenerator prints the engine's address, then runs one command per line: ADDRESS MODE REQUESTS.
 func runLoadGenerator() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 func serveEngine(w http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // a router that breaks off is no fault here
+	_, _ = io.Copy(io.Discard, r.Body) // a router that aborts is not an error here
 	platformtest.StreamHead(w.Header(), r)
 	for i := range responseEvents {
 		fmt.Fprintf(w, "id: %d\ndata: tokens tokens tokens tokens tokens\n\n", i+1)
@@ -81,10 +81,10 @@
 	}
 }
 
-// idleConns are the connections that openIdleConns opened, until the process ends.
+// idleConns holds the connections that openIdleConns opened, until the process ends.
 var idleConns []net.Conn
 
-// openIdleConns opens n connections and gives the number of those that it could open.
+// openIdleConns opens n connections and returns the number of successes.
 func openIdleConns(addr string, n int) int {
 	for i := range n {
 		c, err := net.DialTimeout("tcp", addr, generatorTimeout)
@@ -101,7 +101,7 @@
 	return n
 }
 
-// sendRequests makes n requests and gives the number of those that were answered.
+// sendRequests sends n requests and returns the number of those that got a response.
 func sendRequests(addr, mode string, n int) int64 {
 	var left, answered atomic.Int64
 	left.Store(int64(n))
@@ -129,7 +129,7 @@
 	in   *bufio.Reader
 }
 
-// rawRequest is what every caller sends.
+// rawRequest is the request that every caller sends.
 var rawRequest = platformtest.RawRequest(requestBodySize)
 
 func (c *caller) do() error {
--- a/pkg/gatewayd/logs_test.go
+++ b/pkg/gatewayd/logs_test.go
@@ -16,8 +16,8 @@
 	eventInPage = regexp.MustCompile("`([a-z_]+)`")
 )
 
-// An engineer on call meets a line that no page explains, or looks for one that no code
-// writes any more.
+// Guards against log events that the operators' page doesn't explain, and against events on the page
+// that no code writes.
 func TestPageNamesEveryEvent(t *testing.T) {
 	code := make(map[string]bool)
 	for _, dir := range []string{"../catalog", "../fleet", "../gateway", "../reload", "../status", "../warmup", ".", "../../platform", "../../cmd/flamingowind-gateway"} {
--- a/pkg/gatewayd/pauses_test.go
+++ b/pkg/gatewayd/pauses_test.go
@@ -19,8 +19,8 @@
 	require.Equal(t, pauses, decodePauses(encoded))
 }
 
-// Another router tells figures of any length and sign. They may make no pause longer than the
-// reading that causes it.
+// Guards against reported pauses of any length and sign. They must not make an expected pause longer
+// than the prefill that causes it.
 func FuzzDecodePauses(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8}, []byte{1})
 	f.Add([]byte{}, []byte{255, 255, 255, 255, 255, 255, 255, 255})
@@ -36,7 +36,7 @@
 	})
 }
 
-// numbers reads as many whole numbers as there are.
+// numbers decodes as many integers as there are.
 func numbers(data []byte) []int {
 	const size = 8
 	var list []int
--- a/pkg/gatewayd/rejections_test.go
+++ b/pkg/gatewayd/rejections_test.go
@@ -10,7 +10,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Guards against callers that are turned away without a word of what the host gave the router.
+// Guards against logs of rejected connections that lack the CPU share which the router got.
 func TestRejectionLogNamesTheShareOfACore(t *testing.T) {
 	lines := memory.New()
 	refused := int64(0)
--- a/pkg/gatewayd/reload_test.go
+++ b/pkg/gatewayd/reload_test.go
@@ -22,11 +22,11 @@
 	"github.com/flamingowind/flamingowind/pkg/warmup"
 )
 
-// testProcess is a process without its addresses, with its settings in a file.
+// testProcess is a process without listeners, with its settings in a file.
 type testProcess struct {
 	*Process
 	file string
-	// watcher has read the file as newTestProcess wrote it.
+	// watcher has read the file that newTestProcess wrote.
 	watcher *reload.Watcher
 	lines   *memory.Handler
 	store   atomic.Value
@@ -58,8 +58,8 @@
 	require.NoError(t, os.WriteFile(r.file, []byte(text), 0o600))
 }
 
-// The operators move the store and write other settings, without a word or with the
-// signal for it. A router that doesn't look again asks the old store for ever.
+// Guards against a router that keeps using the old store after the operators changed its address and
+// other settings, with or without a signal.
 func TestChangedSettingsComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestProcess(t)
@@ -80,7 +80,7 @@
 	})
 }
 
-// A half-written or faulty file must not take the settings in force away.
+// Guards against a partly written or faulty file that replaces the settings in force.
 func TestFaultySettingsChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestProcess(t)
@@ -98,8 +98,8 @@
 	})
 }
 
-// An address can't be changed while it is served. The operators must be told, and what
-// can be changed must be.
+// Guards against changes that are ignored silently: a listen address needs a restart, which must be
+// logged, and all other changes must be applied.
 func TestReloadLogsWhatNeedsARestart(t *testing.T) {
 	r := newTestProcess(t)
 	s := *r.settings.Load()
--- a/pkg/gatewayd/restorations_test.go
+++ b/pkg/gatewayd/restorations_test.go
@@ -13,8 +13,8 @@
 	"github.com/flamingowind/flamingowind/pkg/fleet"
 )
 
-// Guards against a router that starts after a zone was restored, hears of the state as it is now
-// and takes the zone's upstreams for warm.
+// Guards against a router that starts after a zone was restored, gets only the current state and
+// treats the zone's upstreams as warm.
 func TestRestorationIsReportedToRoutersThatStartAfterIt(t *testing.T) {
 	l := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	older, newer := catalog.New(l), catalog.New(l)
@@ -33,7 +33,7 @@
 	require.WithinDuration(t, now.Add(-2*time.Second), at, time.Second)
 }
 
-// Guards against ages that can't be.
+// Guards against impossible ages.
 func TestAgesOfRestorationsAreBounded(t *testing.T) {
 	now := time.Now()
 	for _, ms := range []int64{math.MinInt64, -1, 0} {
--- a/pkg/gatewayd/settings_test.go
+++ b/pkg/gatewayd/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator looks a setting up and doesn't find it.
+// Guards against settings that the operators' page doesn't list.
 func TestPageNamesEverySetting(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/gateway.md")
 	require.NoError(t, err)
@@ -18,7 +18,7 @@
 	}
 }
 
-// settingNames gives the keys of all values under a type.
+// settingNames returns the keys of all values in a type.
 func settingNames(of reflect.Type) []string {
 	var names []string
 	for i := range of.NumField() {
@@ -32,7 +32,7 @@
 	return names
 }
 
-// A faulty address or amount must be told with its key before the router starts.
+// Guards against a router that starts with a faulty address or amount, or an error without its key.
 func TestCheckNamesFaults(t *testing.T) {
 	s := DefaultSettings()
 	s.Router.Name, s.Store.Addr = "r", "10.0.0.1:1"
--- a/pkg/gatewayd/shareusage_test.go
+++ b/pkg/gatewayd/shareusage_test.go
@@ -11,8 +11,8 @@
 	"github.com/flamingowind/flamingowind/pkg/placement"
 )
 
-// Callers of "flood" come to this router, those of "behind" to another one that reads little of
-// what they ask. The line names both, and what each gets from the whole fleet.
+// Callers of "flood" use this router, those of "behind" another one that serves little of their
+// demand. The log line names both, and what each gets from the whole fleet.
 func TestOrganisationsOverTheirShareAreLogged(t *testing.T) {
 	lines := memory.New()
 	shares, now := placement.NewShares(), time.Unix(1000, 0)
@@ -33,7 +33,7 @@
 	require.InDelta(t, 4.5, f["ahead"], 0.01)
 }
 
-// Before the first configuration nothing is known of what is due.
+// Before the first configuration the capacity, and so every share, is unknown.
 func TestNothingIsLoggedWithoutACapacity(t *testing.T) {
 	lines := memory.New()
 	u := shareUsage{shares: placement.NewShares(), capacity: func() float64 { return 0 }, log: &log.Logger{Handler: lines, Level: log.InfoLevel}}
--- a/pkg/gatewayd/storeduties_test.go
+++ b/pkg/gatewayd/storeduties_test.go
@@ -13,8 +13,8 @@
 
 func (p fakeRanking) Rank() int { return p.rank }
 
-// Every router's own questions would be most of what a large fleet asks of the store; none
-// asking would leave it without changes.
+// Guards against a large fleet in which every router queries the store, which would be most of its
+// load, and against one in which none does and changes never arrive.
 func TestFewRoutersReadTheStore(t *testing.T) {
 	for _, one := range []struct {
 		ranking           fakeRanking
@@ -32,8 +32,8 @@
 	}
 }
 
-// All routers that ask the store at once when nobody tells them would be most of what it is
-// asked in an outage.
+// Guards against routers that all query the store at once when no peer reports, which would be most
+// of its load in an outage.
 func TestRoutersAskTheStoreInTurn(t *testing.T) {
 	require.Zero(t, storeDuties{ranking: fakeRanking{count: 8, rank: 7}}.Turn())
 	before := time.Duration(-1)
@@ -44,7 +44,8 @@
 	}
 }
 
-// A router that starts in a large fleet asks the store though others would tell it.
+// Guards against a router that queries the store at its start in a large fleet although peers would
+// send it everything.
 func TestRoutersOfALargeFleetWaitForPeersAtStart(t *testing.T) {
 	joined, joining := func() bool { return true }, func() bool { return false }
 	require.True(t, storeDuties{ranking: fakeRanking{count: 1}, joined: joining}.HearsFirst(joinTimeout/2))
