--- a/pkg/gatewayd/documents_test.go
+++ b/pkg/gatewayd/documents_test.go
@@ -65,7 +65,7 @@
 	require.Len(t, d.versions, maxDocuments)
 	require.EqualValues(t, 3*maxDocuments, d.versions[maxDocuments-1].version)
 	_, err := d.unpack(nil, 1)
-	require.Error(t, err, "its base is forgotten")
+	require.Error(t, err, "the base was dropped")
 }
 
 // Guards against upgraded routers whose updates the routers of the previous release can't read.
--- a/pkg/gatewayd/inflow_test.go
+++ b/pkg/gatewayd/inflow_test.go
@@ -22,5 +22,5 @@
 	} {
 		require.Empty(t, decodeInflows(map[string]fleet.Inflow{"llm": f}), "%+v", f)
 	}
-	require.Zero(t, decodeInflows(map[string]fleet.Inflow{"llm": {Rate: 1, OverShare: -1e-12}})["llm"].OverShare, "what is taken out of a sum leaves a little")
+	require.Zero(t, decodeInflows(map[string]fleet.Inflow{"llm": {Rate: 1, OverShare: -1e-12}})["llm"].OverShare, "subtraction from a sum leaves a rounding error")
 }
--- a/pkg/gatewayd/life_test.go
+++ b/pkg/gatewayd/life_test.go
@@ -109,14 +109,14 @@
 			return // nothing is listed yet
 		}
 		if want := lives[min(1, newest/restart)]; *in != want {
-			t.Fatalf("at revision %d the present life is %+v, not %+v", newest, *in, want)
+			t.Fatalf("at revision %d the current life is %+v, want %+v", newest, *in, want)
 		}
 		life := in.Life()
 		if hasPrefix := m.local.prefixIndex.Lookup(promptPrefixes, now)[life].Sent > 0; hasPrefix != cached[life] {
-			t.Fatalf("keeps the prompt: %v, was told so: %v", hasPrefix, cached[life])
+			t.Fatalf("prefix in the index: %v, reported: %v", hasPrefix, cached[life])
 		}
 		if running := m.local.loads.Load(life).Running; (running == 3) != (loaded == life) {
-			t.Fatalf("%d running, last told of %v", running, loaded)
+			t.Fatalf("%d running, last reported %v", running, loaded)
 		}
 		if _, usable := m.health.Usable(life, now); usable == failed[life] {
 			t.Fatalf("usable: %v, failed: %v", usable, failed[life])
--- a/pkg/gatewayd/pauses_test.go
+++ b/pkg/gatewayd/pauses_test.go
@@ -30,7 +30,7 @@
 		curve := estimator.Curve("llm")
 		for prefill := time.Duration(0); prefill < 3*time.Second; prefill += 90 * time.Millisecond {
 			if pause := curve.At(prefill); pause < 0 || pause > prefill {
-				t.Fatalf("a pause of %v beside a reading of %v", pause, prefill)
+				t.Fatalf("a pause of %v during a prefill of %v", pause, prefill)
 			}
 		}
 	})
--- a/pkg/gatewayd/restorations_test.go
+++ b/pkg/gatewayd/restorations_test.go
@@ -33,7 +33,7 @@
 	require.WithinDuration(t, now.Add(-2*time.Second), at, time.Second)
 }
 
-// Guards against impossible ages.
+// Guards against reported ages below 0 or beyond the maximum.
 func TestAgesOfRestorationsAreBounded(t *testing.T) {
 	now := time.Now()
 	for _, ms := range []int64{math.MinInt64, -1, 0} {
--- a/pkg/reload/watcher.go
+++ b/pkg/reload/watcher.go
@@ -36,13 +36,13 @@
 	return &Watcher{file: file, content: content}, errors.Annotate(err, "read settings")
 }
 
-// Content is what the file held when it was read last.
+// Content returns the content that was read last.
 func (w *Watcher) Content() []byte { return w.content }
 
-// File is the file's name.
+// File returns the file's name.
 func (w *Watcher) File() string { return w.file }
 
-// Apply puts a file's content in force; when it fails nothing may have changed.
+// Apply applies a file's content. When it fails, nothing may have changed.
 type Apply func(content []byte) error
 
 // Run applies the file whenever now receives a signal, and when its content has changed, until ctx
@@ -63,7 +63,7 @@
 		case <-tick.C:
 		}
 		if err := w.poll(announced, apply); err != nil {
-			l.WithError(err).WithField("event", "reload_failed").Error("other settings can't be read, those in force stay")
+			l.WithError(err).WithField("event", "reload_failed").Error("cannot apply the new settings, keeping those in force")
 		}
 	}
 }
@@ -73,7 +73,7 @@
 func (w *Watcher) poll(announced bool, apply Apply) error {
 	content, err := os.ReadFile(w.file)
 	switch {
-	case err != nil && !announced: // it is being replaced; a later look finds it
+	case err != nil && !announced: // it is being replaced; a later poll finds it
 		w.changePending = false
 		return nil
 	case err != nil:
@@ -85,9 +85,9 @@
 	return errors.Trace(apply(content))
 }
 
-// changeSettled reports whether the file has changed and two looks found the same.
+// changeSettled reports whether the file has changed and two polls read the same content.
 //
-// Guard: a file that is just being written ends anywhere, and half of it may be sound.
+// A file that is being written may end anywhere, and a part of it may be valid settings.
 func (w *Watcher) changeSettled(content []byte) bool {
 	same := w.changePending && bytes.Equal(content, w.pending)
 	w.changePending, w.pending = !bytes.Equal(content, w.content), content
--- a/pkg/reload/watcher_test.go
+++ b/pkg/reload/watcher_test.go
@@ -17,7 +17,7 @@
 	"github.com/flamingowind/flamingowind/pkg/reload"
 )
 
-// testFile is a settings file under a watcher that takes any content but "faulty".
+// testFile is a watched settings file; any content but "faulty" is valid.
 type testFile struct {
 	file    string
 	applied []string
@@ -52,8 +52,8 @@
 	})
 }
 
-// The operators replace the file. Half-way through it is gone for a moment, which is no
-// fault; the whole file comes into force once, and not again while it stays as it is.
+// Guards against a changed file that is applied more than once, and against an error when the file
+// is missing for a moment while it is replaced.
 func TestAChangedFileIsAppliedOnce(t *testing.T) {
 	withWatcher(t, func(t *testing.T, w *testFile) {
 		require.NoError(t, os.Remove(w.file))
@@ -66,8 +66,8 @@
 	})
 }
 
-// Guards against settings of a file that is just being written: half a file may be sound, with a
-// store's address cut short or limits left out. Only the whole file comes into force.
+// Guards against settings of a partly written file, which may be valid but have a truncated store
+// address or lack limits. Only the whole file is applied.
 func TestAFileIsNotAppliedWhileItIsWritten(t *testing.T) {
 	const step = 50 * time.Millisecond
 	for begun := time.Duration(0); begun < reload.Every; begun += step {
@@ -84,8 +84,7 @@
 	}
 }
 
-// Whoever announces settings expects them to be read at once, also when they are the
-// same ones, or when the file can't be read.
+// A signal makes the watcher read the file at once, even when it is unchanged or can't be read.
 func TestSignalReloadsAtOnce(t *testing.T) {
 	withWatcher(t, func(t *testing.T, w *testFile) {
 		w.hup <- syscall.SIGHUP
@@ -99,9 +98,9 @@
 	})
 }
 
-// The operators replace the file without a word while a router starts, after it has read
-// its settings and before it watches the file. It would go by the settings before, such
-// as the address of a store that is gone, until the next change.
+// Guards against a change without a signal that is missed because it comes after a router has read
+// its settings and before it watches the file. The router would keep the old settings, such as the
+// address of a store that is gone, until the next change.
 func TestAChangeDuringTheStartIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &testFile{file: filepath.Join(t.TempDir(), "settings.yaml"), lines: memory.New()}
@@ -118,7 +117,7 @@
 	})
 }
 
-// A faulty file is told once and not every two seconds, and the next sound one counts.
+// A faulty file is logged once and not at every poll, and the next valid one is applied.
 func TestFaultyFileIsLoggedOnce(t *testing.T) {
 	withWatcher(t, func(t *testing.T, w *testFile) {
 		w.write(t, "faulty")
--- a/pkg/routing/config.go
+++ b/pkg/routing/config.go
@@ -1,6 +1,6 @@
 package routing
 
-// Config is a declared configuration, whole.
+// Config is a complete declared configuration.
 type Config struct {
 	Version       int64
 	Routes        []Route
--- a/pkg/routing/kind.go
+++ b/pkg/routing/kind.go
@@ -1,6 +1,6 @@
 package routing
 
-// Kind says what may be repeated about the requests of a route.
+// Kind determines whether and how requests of a route may be retried.
 type Kind string
 
 const (
@@ -8,6 +8,6 @@
 	Idempotent Kind = "idempotent"
 	// AtMostOnce requests run once or not at all.
 	AtMostOnce Kind = "at-most-once"
-	// Stream requests are answered by a series of numbered events.
+	// Stream requests get a stream of numbered events as their response.
 	Stream Kind = "stream"
 )
--- a/pkg/routing/limits.go
+++ b/pkg/routing/limits.go
@@ -8,7 +8,7 @@
 	MaxBodyBytes   int64
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	// TokensPerSecond is what all engines together do: a token read counts once, one
-	// generated twice.
+	// TokensPerSecond is the capacity of all engines together: a prompt token counts once, a
+	// generated one twice.
 	TokensPerSecond float64
 }
--- a/pkg/routing/organisation.go
+++ b/pkg/routing/organisation.go
@@ -1,9 +1,9 @@
 package routing
 
-// Organisation is one of those who share the capacity.
+// Organisation holds API keys and shares the fleet's capacity with other organisations.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Rank goes before a route's rank when set.
+	// Rank overrides a route's rank when set.
 	Rank *int
 }
--- a/pkg/routing/pick.go
+++ b/pkg/routing/pick.go
@@ -1,8 +1,8 @@
 package routing
 
-// Pick chooses the service for a request: draw is a number in [0,1) that stands for the
-// request, so that all attempts of one request agree. Targets without weight get nothing
-// as long as another has some.
+// Pick chooses the service for a request by the targets' weights. draw is a number in [0, 1) that
+// is fixed for a request, so that all its attempts use the same service. Targets of weight 0 get no
+// requests as long as another has a weight.
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -8,12 +8,12 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout bounds the time that a caller waits.
 	Timeout time.Duration
-	// Objective is the time in which an answer has its full worth: to the first event
-	// of a stream, to the end of any other answer.
+	// Objective is the latency objective: the time to the first event of a stream, or to the end
+	// of any other response.
 	Objective time.Duration
-	// MaxPause is the longest pause between two events that the objective allows.
+	// MaxPause is the longest pause between two events of a stream that meets the objective.
 	MaxPause time.Duration
 	// Rank orders routes by urgency, 0 first.
 	Rank int
@@ -23,12 +23,12 @@
 	MaxAttempts int
 	// Public routes take requests without a key.
 	Public bool
-	// SharesPrompts says that requests name the parts of their prompts.
+	// SharesPrompts is set when requests name the parts of their prompts.
 	SharesPrompts bool
-	// Resumable streams may go on at another upstream after the last event.
+	// Resumable streams may continue at another upstream after the last event.
 	Resumable bool
 }
 
-// Repeatable reports whether a request of the route may run more than once from its
-// beginning. Streams that may go on at another upstream may also begin again there.
+// Repeatable reports whether a request of the route may run more than once from its beginning.
+// Streams that may continue at another upstream may also restart there.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Stream && r.Resumable }
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Table is a configuration made ready for look-ups.
+// Table indexes a configuration for lookups.
 type Table struct {
 	Config    *Config
 	byHost    map[string][]*Route
@@ -45,8 +45,8 @@
 	return t
 }
 
-// Match finds the route with the longest prefix that begins path, which is taken as the
-// caller sent it: cleaning it would let two spellings of one path take different routes.
+// Match returns the route with the longest prefix of path; nil without one. The path is matched as
+// the caller sent it: normalising it would let two spellings of one path take different routes.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// Organisation finds who holds key.
+// Organisation returns the organisation that holds an API key; nil for an unknown key.
 func (t *Table) Organisation(key string) *Organisation { return t.byKey[key] }
 
 // HasOrganisations reports whether requests need keys.
 func (t *Table) HasOrganisations() bool { return len(t.Config.Organisations) > 0 }
 
-// addMaxPause notes the pause that a route allows its streams, for each service that serves it.
+// addMaxPause records the longest pause that a route allows, for each of its services.
 func (t *Table) addMaxPause(r *Route) {
 	if r.MaxPause <= 0 {
 		return
@@ -77,9 +77,8 @@
 	}
 }
 
-// MaxPause is the shortest pause between two events that any route to a service allows; 0
-// when none sets one.
+// MaxPause returns the smallest MaxPause of the routes to a service; 0 when none sets it.
 func (t *Table) MaxPause(service string) time.Duration { return t.maxPauses[service] }
 
-// Service finds a service by name.
+// Service returns a service by name; nil for an unknown one.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/pkg/routing/target.go
+++ b/pkg/routing/target.go
@@ -1,6 +1,6 @@
 package routing
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that gets a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
