--- a/pkg/gatewayd/check.go
+++ b/pkg/gatewayd/check.go
@@ -24,28 +24,28 @@
 		"listen.callers": s.Listen.Callers, "listen.readiness": s.Listen.Readiness,
 		"listen.peers": s.Listen.Peers, "listen.entries": s.Listen.Entries, "store.addr": s.Store.Addr,
 	} {
-		require(isAddr(addr), "%s: %q is no IP:port", key, addr)
+		require(isAddr(addr), "%s: %q is not an IP:port address", key, addr)
 	}
-	require(s.Advertise.Callers == "" || isAddr(s.Advertise.Callers), "advertise.callers: %q is no IP:port", s.Advertise.Callers)
-	require(s.Advertise.Peers == "" || isAddr(s.Advertise.Peers), "advertise.peers: %q is no IP:port", s.Advertise.Peers)
-	require(s.Listen.Handover == "" || isAddr(s.Listen.Handover), "listen.handover: %q is no IP:port", s.Listen.Handover)
-	require(s.Listen.Metrics == "" || isAddr(s.Listen.Metrics), "listen.metrics: %q is no IP:port", s.Listen.Metrics)
-	require(s.Limits.MemoryMiB >= 0, "limits.memoryMiB is under 0")
-	require(s.Limits.Cores >= 0, "limits.cores is under 0")
-	require(s.Limits.LinkMbps >= 0, "limits.linkMbps is under 0")
-	require(s.Limits.KeptConnections > 0, "limits.keptConnections must be over 0")
-	require(s.Repeats.Ratio >= 0 && s.Repeats.Slack >= 0, "repeats: ratio and slack can't be under 0")
-	require(s.Repeats.WindowSeconds > 0, "repeats.windowSeconds must be over 0")
-	require(s.Streams.EventDelayMs >= 0, "streams.eventDelayMs is under 0")
-	require(s.Warmup.Over >= 0 && s.Warmup.Slack >= 0, "warmup: over and slack can't be under 0")
-	require(s.Leaving.GraceSeconds > 0, "leaving.graceSeconds must be over 0")
-	require(s.Engines.PrefillTokensPerMs > 0, "engines.prefillTokensPerMs must be over 0")
-	require(s.Entries.KeepSeconds > 0, "entries.keepSeconds must be over 0")
+	require(s.Advertise.Callers == "" || isAddr(s.Advertise.Callers), "advertise.callers: %q is not an IP:port address", s.Advertise.Callers)
+	require(s.Advertise.Peers == "" || isAddr(s.Advertise.Peers), "advertise.peers: %q is not an IP:port address", s.Advertise.Peers)
+	require(s.Listen.Handover == "" || isAddr(s.Listen.Handover), "listen.handover: %q is not an IP:port address", s.Listen.Handover)
+	require(s.Listen.Metrics == "" || isAddr(s.Listen.Metrics), "listen.metrics: %q is not an IP:port address", s.Listen.Metrics)
+	require(s.Limits.MemoryMiB >= 0, "limits.memoryMiB must not be negative")
+	require(s.Limits.Cores >= 0, "limits.cores must not be negative")
+	require(s.Limits.LinkMbps >= 0, "limits.linkMbps must not be negative")
+	require(s.Limits.KeptConnections > 0, "limits.keptConnections must be positive")
+	require(s.Repeats.Ratio >= 0 && s.Repeats.Slack >= 0, "repeats: ratio and slack must not be negative")
+	require(s.Repeats.WindowSeconds > 0, "repeats.windowSeconds must be positive")
+	require(s.Streams.EventDelayMs >= 0, "streams.eventDelayMs must not be negative")
+	require(s.Warmup.Over >= 0 && s.Warmup.Slack >= 0, "warmup: over and slack must not be negative")
+	require(s.Leaving.GraceSeconds > 0, "leaving.graceSeconds must be positive")
+	require(s.Engines.PrefillTokensPerMs > 0, "engines.prefillTokensPerMs must be positive")
+	require(s.Entries.KeepSeconds > 0, "entries.keepSeconds must be positive")
 	for _, name := range s.Trial.Off {
-		require(mechanism(new(gateway.DisabledMechanisms), name) != nil, "trial.off: %q is no mechanism", name)
+		require(mechanism(new(gateway.DisabledMechanisms), name) != nil, "trial.off: %q is not a known mechanism", name)
 	}
 	_, err := log.ParseLevel(s.Log.Level)
-	require(err == nil, "log.level: %q is no level", s.Log.Level)
+	require(err == nil, "log.level: %q is not a log level", s.Log.Level)
 	if len(faults) == 0 {
 		return nil
 	}
--- a/pkg/gatewayd/cost_bench_test.go
+++ b/pkg/gatewayd/cost_bench_test.go
@@ -200,5 +200,5 @@
 func (c *loadGenerator) send(b *testing.B, addr, mode string, n int) {
 	_, err := fmt.Fprintln(c.in, addr, mode, n)
 	require.NoError(b, err)
-	require.Equal(b, strconv.Itoa(n), c.line(b), "requests that got an answer")
+	require.Equal(b, strconv.Itoa(n), c.line(b), "requests that got a response")
 }
--- a/pkg/gatewayd/documents.go
+++ b/pkg/gatewayd/documents.go
@@ -21,7 +21,7 @@
 // document is an encoded configuration as routers exchange it.
 type document struct {
 	version int64
-	// digest tells different documents of one version apart.
+	// digest distinguishes different documents of one version.
 	digest uint64
 	plain  []byte
 }
--- a/pkg/gatewayd/documents_test.go
+++ b/pkg/gatewayd/documents_test.go
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	ours, err := sender.get(next)
 	require.NoError(t, err)
-	require.Equal(t, ours.digest, theirs.digest, "the reader may give it on")
+	require.Equal(t, ours.digest, theirs.digest, "the receiver may forward it")
 }
 
 // Guards against a delta for a receiver whose base has other content or is no longer kept.
--- a/pkg/gatewayd/rejections_test.go
+++ b/pkg/gatewayd/rejections_test.go
@@ -21,6 +21,6 @@
 	refused = 7
 	r.report()
 	r.report()
-	require.Len(t, lines.Entries, 1, "nobody was turned away since")
+	require.Len(t, lines.Entries, 1, "no connection was rejected since")
 	require.Equal(t, log.Fields{"event": "connections_turned_away", "refused": int64(7), "closed": int64(2), "each_us": int64(25), "core_percent": 10}, lines.Entries[0].Fields)
 }
