--- a/pkg/gatewayd/pauses_test.go
+++ b/pkg/gatewayd/pauses_test.go
@@ -19,8 +19,8 @@
 	require.Equal(t, pauses, decodePauses(encoded))
 }
 
-// Another router tells figures of any length and sign. They may make no pause longer than the
-// reading that causes it.
+// Guards against reported pauses of any length and sign. They must not make an expected pause longer
+// than the prefill that causes it.
 func FuzzDecodePauses(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8}, []byte{1})
 	f.Add([]byte{}, []byte{255, 255, 255, 255, 255, 255, 255, 255})
@@ -30,13 +30,13 @@
 		curve := estimator.Curve("llm")
 		for prefill := time.Duration(0); prefill < 3*time.Second; prefill += 90 * time.Millisecond {
 			if pause := curve.At(prefill); pause < 0 || pause > prefill {
-				t.Fatalf("a pause of %v beside a reading of %v", pause, prefill)
+				t.Fatalf("a pause of %v during a prefill of %v", pause, prefill)
 			}
 		}
 	})
 }
 
-// numbers reads as many whole numbers as there are.
+// numbers decodes as many integers as there are.
 func numbers(data []byte) []int {
 	const size = 8
 	var list []int
