--- a/internal/replay/gates.go
+++ b/internal/replay/gates.go
@@ -43,7 +43,7 @@
 	for _, name := range names {
 		roster := warmup.Roster{Self: name, Routers: names, Since: since, Joined: since, Known: len(names)}
 		gate := warmup.NewGate(func(time.Time) warmup.Roster { return roster }, func(time.Time) bool { return true }, quiet)
-		gate.Tune(coldOver, coldSlack)
+		gate.SetLimit(coldOver, coldSlack)
 		g.list = append(g.list, gate)
 	}
 	return g
@@ -62,7 +62,7 @@
 		list = append(list, *e.instance)
 	}
 	for _, gate := range g.list {
-		gate.Follow(upstream.NewSet(list), epoch)
+		gate.SetUpstreams(upstream.NewSet(list), epoch)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (g *gates) restore(now time.Time) {
 	for ; g.restored < len(g.evacuations) && !now.Before(epoch.Add(g.evacuations[g.restored].To)); g.restored++ {
 		for _, gate := range g.list {
-			gate.Restore([]string{zone(g.restored)}, epoch.Add(g.evacuations[g.restored].To))
+			gate.MarkRestored([]string{zone(g.restored)}, epoch.Add(g.evacuations[g.restored].To))
 		}
 	}
 }
@@ -86,17 +86,17 @@
 			return false
 		}
 	}
-	return !w.decisions.Warmup || w.gates.list[at.index].Open(w.engines[i].instance, w.gates.service, now)
+	return !w.decisions.Warmup || w.gates.list[at.index].Allows(w.engines[i].instance, w.gates.service, now)
 }
 
 // sends counts a request that a router sends, and whether that is more than a cold engine bears.
 func (w *world) sends(at *router, in *upstream.Instance, now time.Time) {
 	if w.decisions.Warmup {
-		w.gates.list[at.index].Take(in, w.gates.service, now)
+		w.gates.list[at.index].Acquire(in, w.gates.service, now)
 	}
 	e := w.engineOf(in)
 	e.sent = append(e.sent, now)
-	if !w.gates.list[at.index].Cold(in, w.gates.service, now) {
+	if !w.gates.list[at.index].IsCold(in, w.gates.service, now) {
 		return
 	}
 	recent := 0
--- a/pkg/gateway/place.go
+++ b/pkg/gateway/place.go
@@ -96,7 +96,7 @@
 		if !g.catalog.Placeable(inst) || r.tried[inst.ID] {
 			return
 		}
-		if !g.warmup.Open(inst, r.service, now) {
+		if !g.warmup.Allows(inst, r.service, now) {
 			cold++
 			return
 		}
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -125,9 +125,9 @@
 	p.tuneWarmup(s)
 	p.catalog.Follow(func(set *upstream.Set, known time.Time) {
 		p.pools.Follow(set, known)
-		p.warmup.Follow(set, time.Now())
+		p.warmup.SetUpstreams(set, time.Now())
 	})
-	p.catalog.FollowRestored(p.warmup.Restore)
+	p.catalog.FollowRestored(p.warmup.MarkRestored)
 	p.joiner = fleet.NewJoiner(p.exchange, d.Registry, s.Entries.Known, s.Router.FirstStart, l)
 	p.watcher = catalog.NewWatcher(p.catalog, d.Store, duties{ranks: p.fleet, settled: p.joiner.Settled}, l)
 	p.gateway = gateway.New(gatewaySettings(s), gateway.Dependencies{
--- a/pkg/gatewayd/warmup.go
+++ b/pkg/gatewayd/warmup.go
@@ -23,5 +23,5 @@
 }
 
 func (p *Process) tuneWarmup(s Settings) {
-	p.warmup.Tune(cmp.Or(s.Warmup.Over, 1), s.Warmup.Slack)
+	p.warmup.SetLimit(cmp.Or(s.Warmup.Over, 1), s.Warmup.Slack)
 }
--- a/pkg/warmup/fleet_test.go
+++ b/pkg/warmup/fleet_test.go
@@ -78,7 +78,7 @@
 	}
 	r.roster = Roster{Self: r.name, Routers: f.listed, Since: since, Joined: since, Known: r.roster.Known}
 	r.gate = r.fleet.gate()
-	r.gate.Follow(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
+	r.gate.SetUpstreams(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 }
 
 // injectFaults kills, freezes or restarts some routers at once.
@@ -162,7 +162,7 @@
 			continue
 		}
 		f.applyChanges(r)
-		for f.random.IntN(4) > 0 && r.gate.Take(&f.upstream, coldService, f.now) {
+		for f.random.IntN(4) > 0 && r.gate.Acquire(&f.upstream, coldService, f.now) {
 			f.sent = append(f.sent, f.now)
 		}
 	}
@@ -206,7 +206,7 @@
 		// A changed report each time keeps the upstream cold throughout.
 		f.upstream.WarmupLeft++
 		for _, r := range f.routers {
-			r.gate.Follow(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
+			r.gate.SetUpstreams(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 		}
 		f.step()
 	}
--- a/pkg/warmup/gate.go
+++ b/pkg/warmup/gate.go
@@ -46,16 +46,16 @@
 		restored: make(map[string]time.Time)}
 }
 
-// Tune sets the limit for a cold upstream: factor times what its service declares, plus slack
+// SetLimit sets the limit for a cold upstream: factor times what its service declares, plus slack
 // requests per second.
-func (g *Gate) Tune(factor, slack float64) {
+func (g *Gate) SetLimit(factor, slack float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.factor, g.slack = factor, slack
 }
 
-// Follow sets the list of upstreams.
-func (g *Gate) Follow(set *upstream.Set, now time.Time) {
+// SetUpstreams sets the list of upstreams.
+func (g *Gate) SetUpstreams(set *upstream.Set, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cold := 0
@@ -100,9 +100,9 @@
 	return 1
 }
 
-// Restore records that the evacuation of zones ended at the given time. Their upstreams are
+// MarkRestored records that the evacuation of zones ended at the given time. Their upstreams are
 // cold from then on whatever their entries say, as entries from before may be read later.
-func (g *Gate) Restore(zones []string, at time.Time) {
+func (g *Gate) MarkRestored(zones []string, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for zone, before := range g.restored {
@@ -135,8 +135,8 @@
 	return at >= g.warmBy.Load() && (restored == 0 || at >= restored+int64(s.Warmup))
 }
 
-// Cold reports whether an upstream of a service is cold.
-func (g *Gate) Cold(in *upstream.Instance, s *routing.Service, now time.Time) bool {
+// IsCold reports whether an upstream of a service is cold.
+func (g *Gate) IsCold(in *upstream.Instance, s *routing.Service, now time.Time) bool {
 	if s == nil || g.allWarm(s, now) {
 		return false
 	}
@@ -149,13 +149,13 @@
 	return l != nil && l.cold(s.Warmup, now)
 }
 
-// Open reports whether this router may send a request to an upstream of a service.
-func (g *Gate) Open(in *upstream.Instance, s *routing.Service, now time.Time) bool {
+// Allows reports whether this router may send a request to an upstream of a service.
+func (g *Gate) Allows(in *upstream.Instance, s *routing.Service, now time.Time) bool {
 	return g.check(in, s, now, false)
 }
 
-// Take reports the same just before the request is sent, and counts the request.
-func (g *Gate) Take(in *upstream.Instance, s *routing.Service, now time.Time) bool {
+// Acquire reports the same just before the request is sent, and counts the request.
+func (g *Gate) Acquire(in *upstream.Instance, s *routing.Service, now time.Time) bool {
 	return g.check(in, s, now, true)
 }
 
@@ -193,7 +193,7 @@
 	if s == nil || s.ColdPerSecond <= 0 {
 		return true
 	}
-	cold, view := g.Cold(in, s, now), g.viewAt(now)
+	cold, view := g.IsCold(in, s, now), g.viewAt(now)
 	if !cold && !view.partitioned() {
 		return true
 	}
--- a/pkg/warmup/gate_test.go
+++ b/pkg/warmup/gate_test.go
@@ -33,7 +33,7 @@
 
 func (f *fleet) gate() *Gate {
 	g := NewGate(func(time.Time) Roster { return f.roster }, func(time.Time) bool { return f.current }, quiet)
-	g.Tune(1.5, 5)
+	g.SetLimit(1.5, 5)
 	return g
 }
 
@@ -46,7 +46,7 @@
 func sent(g *Gate, in upstream.Instance, n int, now time.Time) int {
 	passed := 0
 	for range n {
-		if g.Take(&in, coldService, now) {
+		if g.Acquire(&in, coldService, now) {
 			passed++
 		}
 	}
@@ -59,13 +59,13 @@
 	f := singleRouter(now.Add(-time.Minute))
 	g := f.gate()
 	warm := newEngine("warm", "a", 0)
-	g.Follow(upstream.NewSet([]upstream.Instance{warm}), now)
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{warm}), now)
 	require.Equal(t, 1000, sent(g, warm, 1000, now))
 
 	started := newEngine("new", "a", 3*time.Second)
-	g.Follow(upstream.NewSet([]upstream.Instance{warm, started}), now)
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{warm, started}), now)
 	require.Equal(t, coldLimit, sent(g, started, 1000, now))
-	require.False(t, g.Open(&started, coldService, now.Add(900*time.Millisecond)))
+	require.False(t, g.Allows(&started, coldService, now.Add(900*time.Millisecond)))
 	require.Equal(t, coldLimit, sent(g, started, 1000, now.Add(window)))
 	require.Equal(t, 1000, sent(g, started, 1000, now.Add(3*time.Second)), "the upstream is warm")
 	require.Equal(t, 1000, sent(g, warm, 1000, now))
@@ -78,19 +78,19 @@
 	g := singleRouter(now.Add(-time.Minute)).gate()
 	mute, absurd, warm := newEngine("mute", "a", 0), newEngine("absurd", "a", 1000*time.Hour), newEngine("warm", "b", 0)
 	mute.WarmupTold = false
-	g.Follow(upstream.NewSet([]upstream.Instance{mute, absurd, warm}), now)
-	require.True(t, g.Cold(&mute, coldService, now.Add(2*time.Second)))
-	require.True(t, g.Cold(&absurd, coldService, now.Add(2*time.Second)))
-	require.False(t, g.Cold(&absurd, coldService, now.Add(3*time.Second)), "no longer than the service's warm-up")
-	require.False(t, g.Cold(&warm, coldService, now))
-
-	g.Restore([]string{"b"}, now)
-	require.True(t, g.Cold(&warm, coldService, now))
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{mute, absurd, warm}), now)
+	require.True(t, g.IsCold(&mute, coldService, now.Add(2*time.Second)))
+	require.True(t, g.IsCold(&absurd, coldService, now.Add(2*time.Second)))
+	require.False(t, g.IsCold(&absurd, coldService, now.Add(3*time.Second)), "no longer than the service's warm-up")
+	require.False(t, g.IsCold(&warm, coldService, now))
+
+	g.MarkRestored([]string{"b"}, now)
+	require.True(t, g.IsCold(&warm, coldService, now))
 	again := warm
 	again.Software = "v2"
-	g.Follow(upstream.NewSet([]upstream.Instance{again}), now.Add(time.Second))
-	require.True(t, g.Cold(&again, coldService, now.Add(time.Second)), "an entry with an unchanged warm-up report")
-	require.False(t, g.Cold(&warm, coldService, now.Add(3*time.Second)))
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{again}), now.Add(time.Second))
+	require.True(t, g.IsCold(&again, coldService, now.Add(time.Second)), "an entry with an unchanged warm-up report")
+	require.False(t, g.IsCold(&warm, coldService, now.Add(3*time.Second)))
 }
 
 // Guards against an entry from before the restoration of its zone that is read afterwards and still
@@ -98,12 +98,12 @@
 func TestAnEntryReadLateIsNoWarmerThanItsZone(t *testing.T) {
 	now := time.Now()
 	g := singleRouter(now.Add(-time.Minute)).gate()
-	g.Restore([]string{"b"}, now)
+	g.MarkRestored([]string{"b"}, now)
 	late, elsewhere := newEngine("late", "b", 0), newEngine("elsewhere", "a", 0)
-	g.Follow(upstream.NewSet([]upstream.Instance{late, elsewhere}), now.Add(50*time.Millisecond))
-	require.True(t, g.Cold(&late, coldService, now.Add(2*time.Second)))
-	require.False(t, g.Cold(&elsewhere, coldService, now.Add(2*time.Second)))
-	require.False(t, g.Cold(&late, coldService, now.Add(3*time.Second)))
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{late, elsewhere}), now.Add(50*time.Millisecond))
+	require.True(t, g.IsCold(&late, coldService, now.Add(2*time.Second)))
+	require.False(t, g.IsCold(&elsewhere, coldService, now.Add(2*time.Second)))
+	require.False(t, g.IsCold(&late, coldService, now.Add(3*time.Second)))
 	require.LessOrEqual(t, sent(g, late, 1000, now.Add(2*time.Second)), coldLimit)
 }
 
@@ -112,12 +112,12 @@
 	now := time.Now()
 	g := singleRouter(now.Add(-time.Minute)).gate()
 	in := newEngine("i", "b", 0)
-	g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
-	g.Restore([]string{"b"}, now.Add(-time.Second))
-	require.True(t, g.Cold(&in, coldService, now.Add(1900*time.Millisecond)))
-	require.False(t, g.Cold(&in, coldService, now.Add(2*time.Second)))
-	g.Restore([]string{"b"}, now.Add(-2*time.Second))
-	require.True(t, g.Cold(&in, coldService, now.Add(1900*time.Millisecond)), "an older restoration changes nothing")
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{in}), now)
+	g.MarkRestored([]string{"b"}, now.Add(-time.Second))
+	require.True(t, g.IsCold(&in, coldService, now.Add(1900*time.Millisecond)))
+	require.False(t, g.IsCold(&in, coldService, now.Add(2*time.Second)))
+	g.MarkRestored([]string{"b"}, now.Add(-2*time.Second))
+	require.True(t, g.IsCold(&in, coldService, now.Add(1900*time.Millisecond)), "an older restoration changes nothing")
 }
 
 // Guards against a restarted upstream that inherits the warm state of its previous life.
@@ -125,11 +125,11 @@
 	now := time.Now()
 	g := singleRouter(now.Add(-time.Minute)).gate()
 	first := newEngine("i", "a", 0)
-	g.Follow(upstream.NewSet([]upstream.Instance{first}), now)
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{first}), now)
 	second := newEngine("i", "a", 3*time.Second)
 	second.Born = 7
-	g.Follow(upstream.NewSet([]upstream.Instance{second}), now)
-	require.True(t, g.Cold(&second, coldService, now))
+	g.SetUpstreams(upstream.NewSet([]upstream.Instance{second}), now)
+	require.True(t, g.IsCold(&second, coldService, now))
 }
 
 // Guards against routers that send to cold upstreams although they can't know what others send: a
@@ -147,7 +147,7 @@
 			f := singleRouter(now.Add(-time.Minute))
 			change(f)
 			g := f.gate()
-			g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
+			g.SetUpstreams(upstream.NewSet([]upstream.Instance{in}), now)
 			require.Zero(t, sent(g, in, 100, now))
 		})
 	}
@@ -166,7 +166,7 @@
 			f := &fleet{roster: Roster{Self: "r", Routers: all, Since: now.Add(-time.Minute), Joined: now.Add(-time.Minute), Known: 3}, current: true}
 			g := f.gate()
 			in := newEngine("i", "a", 3*time.Second)
-			g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
+			g.SetUpstreams(upstream.NewSet([]upstream.Instance{in}), now)
 			require.Positive(t, sent(g, in, 10, now))
 			cut(f)
 			require.Zero(t, sent(g, in, 10, now.Add(500*time.Millisecond)))
@@ -202,7 +202,7 @@
 	for _, self := range routers {
 		f := &fleet{roster: Roster{Self: self, Routers: routers, Since: now.Add(-time.Minute), Joined: now.Add(-time.Minute), Known: size}, current: true}
 		g := f.gate()
-		g.Follow(upstream.NewSet([]upstream.Instance{in}), now)
+		g.SetUpstreams(upstream.NewSet([]upstream.Instance{in}), now)
 		if n := sent(g, in, 100, now); n > 0 {
 			total += n
 			assignees++
--- a/pkg/warmup/isolated_test.go
+++ b/pkg/warmup/isolated_test.go
@@ -48,15 +48,15 @@
 		var gates []*Gate
 		for i, r := range cutFleet(groups, now) {
 			g := r.gate()
-			g.Follow(upstream.NewSet([]upstream.Instance{in}), now.Add(-time.Minute))
+			g.SetUpstreams(upstream.NewSet([]upstream.Instance{in}), now.Add(-time.Minute))
 			if groups[i] == 0 {
-				g.Restore([]string{"a"}, now)
+				g.MarkRestored([]string{"a"}, now)
 			}
 			gates = append(gates, g)
 		}
 		for ; f.now.Before(now.Add(coldService.Warmup)); f.now = f.now.Add(simTick) {
 			for range 3 * size {
-				if gates[random.IntN(size)].Take(&in, coldService, f.now) {
+				if gates[random.IntN(size)].Acquire(&in, coldService, f.now) {
 					f.sent = append(f.sent, f.now)
 				}
 			}
@@ -77,7 +77,7 @@
 	alone[0] = 1
 	r := cutFleet(alone, now)[0]
 	g := r.gate()
-	g.Follow(upstream.NewSet(list), now)
+	g.SetUpstreams(upstream.NewSet(list), now)
 	total := 0
 	for _, in := range list {
 		total += sent(g, in, 100, now)
@@ -87,7 +87,7 @@
 
 	outage := cutFleet([]int{1, 1, 1}, now)[0]
 	g = outage.gate()
-	g.Follow(upstream.NewSet(list), now)
+	g.SetUpstreams(upstream.NewSet(list), now)
 	require.Equal(t, 1000, sent(g, list[0], 1000, now))
 }
 
