--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -52,8 +52,8 @@
 	p.fromCallersOf = append(p.fromCallersOf, taking.Traffic, p.handover.Traffic)
 	p.link.watch("handover", taking.Traffic)
 	p.link.watch("handover", p.handover.Traffic)
-	l.PassOn(p.handover.Take, func() bool { return p.pressure.lateBy() > handoverLate && len(targets.now()) > 0 })
-	p.handed = handedOver{count: p.handover.Counts, open: p.handover.Open, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
+	l.PassOn(p.handover.HandOver, func() bool { return p.pressure.lateBy() > handoverLate && len(targets.now()) > 0 })
+	p.handed = handedOver{count: p.handover.Counts, open: p.handover.OpenConns, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
 	return nil
 }
 
@@ -66,7 +66,7 @@
 		if !e.Ready || e.CPUStarved || e.Member.Handover == "" || e.Config < p.catalog.Version() {
 			continue
 		}
-		target := handover.Target{Addr: e.Member.Handover, Power: e.Member.Power, Config: e.Config}
+		target := handover.Target{Addr: e.Member.Handover, Cores: e.Member.Power, Config: e.Config}
 		if e.Member.Zone == p.fleet.Self().Zone {
 			near = append(near, target)
 		} else {
--- a/pkg/gatewayd/leave.go
+++ b/pkg/gatewayd/leave.go
@@ -43,5 +43,5 @@
 	if p.handover == nil {
 		return 0
 	}
-	return p.handover.Open()
+	return p.handover.OpenConns()
 }
--- a/pkg/handover/choose.go
+++ b/pkg/handover/choose.go
@@ -29,4 +29,4 @@
 // minCores is assumed for a target whose cores aren't known.
 const minCores = 0.1
 
-func load(t Target, open int) float64 { return float64(open+1) / max(minCores, t.Power) }
+func load(t Target, open int) float64 { return float64(open+1) / max(minCores, t.Cores) }
--- a/pkg/handover/choose_test.go
+++ b/pkg/handover/choose_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var targets []Target
 		for i := range rapid.IntRange(2, 30).Draw(t, "targets") {
-			targets = append(targets, Target{Addr: string(rune('a' + i)), Power: rapid.SampledFrom([]float64{0, 0.2, 0.8}).Draw(t, "power")})
+			targets = append(targets, Target{Addr: string(rune('a' + i)), Cores: rapid.SampledFrom([]float64{0, 0.2, 0.8}).Draw(t, "cores")})
 		}
 		open := make(map[string]int)
 		place := rapid.IntRange(0, len(targets)-1)
--- a/pkg/handover/counts.go
+++ b/pkg/handover/counts.go
@@ -1,7 +1,7 @@
 package handover
 
-// Open returns the number of connections that are being relayed.
-func (r *Relay) Open() int64 {
+// OpenConns returns the number of connections that are being relayed.
+func (r *Relay) OpenConns() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := int64(0)
--- a/pkg/handover/harness_test.go
+++ b/pkg/handover/harness_test.go
@@ -66,7 +66,7 @@
 			_ = raw.Control(func(of uintptr) { fd, _ = unix.FcntlInt(of, unix.F_DUPFD_CLOEXEC, 0) })
 		}
 		c.Close()
-		if fd >= 0 && !s.relay.Take(fd, time.Now()) {
+		if fd >= 0 && !s.relay.HandOver(fd, time.Now()) {
 			_ = unix.Close(fd)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // waitUntilIdle waits until no connection is relayed any more.
 func (s *testRelay) waitUntilIdle() {
-	require.Eventually(s.t, func() bool { return s.relay.Open() == 0 }, testTimeout, time.Millisecond)
+	require.Eventually(s.t, func() bool { return s.relay.OpenConns() == 0 }, testTimeout, time.Millisecond)
 }
 
 // unusedAddr returns an address on which nobody listens.
--- a/pkg/handover/relay.go
+++ b/pkg/handover/relay.go
@@ -83,9 +83,9 @@
 // Traffic returns the bytes relayed so far.
 func (r *Relay) Traffic() traffic.Bytes { return r.meter.Total() }
 
-// Take relays a caller's connection of which nothing was read, and takes ownership of its
+// HandOver relays a caller's connection of which nothing was read, and takes ownership of its
 // descriptor. It returns false when it can't, and then leaves the connection untouched.
-func (r *Relay) Take(fd int, now time.Time) bool {
+func (r *Relay) HandOver(fd int, now time.Time) bool {
 	waiting, open := peekBytes(fd)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/handover/relay_test.go
+++ b/pkg/handover/relay_test.go
@@ -175,7 +175,7 @@
 	t.Cleanup(server.Close)
 	s := newTestRelay(t, server.Listener.Addr().String())
 	c := s.dial()
-	require.Eventually(t, func() bool { return s.relay.Open() == 1 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return s.relay.OpenConns() == 1 }, testTimeout, time.Millisecond)
 	require.Zero(t, conns.Load())
 	io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	_, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -272,7 +272,7 @@
 	s.setTargets(addr)
 	caller.Close()
 	require.Eventually(t, func() bool { return nowait.Poll(int32(fd), unix.POLLRDHUP) != 0 }, testTimeout, time.Millisecond)
-	if s.relay.Take(fd, time.Now()) {
+	if s.relay.HandOver(fd, time.Now()) {
 		s.waitUntilIdle()
 	}
 	require.Zero(t, requests.Load())
--- a/pkg/handover/target.go
+++ b/pkg/handover/target.go
@@ -11,8 +11,8 @@
 type Target struct {
 	// Addr is the router's address as IP:port.
 	Addr string
-	// Power is the number of CPU cores of the router; 0 when it doesn't report it.
-	Power float64
+	// Cores is the number of CPU cores of the router; 0 when it doesn't report it.
+	Cores float64
 	// Config is the version of the router's configuration.
 	Config int64
 }
