--- a/pkg/admission/afterstall_test.go
+++ b/pkg/admission/afterstall_test.go
@@ -94,7 +94,7 @@
 		l.rounds.countAdmitted()
 	}
 	l.endRound()
-	refused, _ := l.TurnedAway()
+	refused, _ := l.ShedCounts()
 	require.EqualValues(t, 1, refused)
 	require.LessOrEqual(t, l.rounds.took, slowRound)
 }
--- a/pkg/admission/burst_test.go
+++ b/pkg/admission/burst_test.go
@@ -24,7 +24,7 @@
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateActive {
 				clock.advance(readTime)
-				c.(*Conn).Leave()
+				c.(*Conn).ReleaseReadSlot()
 			}
 		}}
 	go s.Serve(l)
@@ -38,6 +38,6 @@
 		})
 	}
 	all.Wait()
-	refused, closed := l.TurnedAway()
+	refused, closed := l.ShedCounts()
 	require.Zero(t, refused+closed)
 }
--- a/pkg/admission/close_test.go
+++ b/pkg/admission/close_test.go
@@ -44,7 +44,7 @@
 
 // shedCount returns how many connections were refused or closed.
 func shedCount(l *Listener) int64 {
-	refused, closed := l.TurnedAway()
+	refused, closed := l.ShedCounts()
 	return refused + closed
 }
 
@@ -132,7 +132,7 @@
 		dial(t, l)
 		c, err := l.Accept()
 		require.NoError(t, err)
-		c.(*Conn).Leave()
+		c.(*Conn).ReleaseReadSlot()
 	}
 	l.now = clock.now
 	s := &http.Server{Handler: http.NotFoundHandler()}
--- a/pkg/admission/conn.go
+++ b/pkg/admission/conn.go
@@ -46,7 +46,7 @@
 	}
 	// A connection that is opened before its request would hold its slot for as long as it is idle,
 	// and a few of them would block all others.
-	c.Leave()
+	c.ReleaseReadSlot()
 	n, err := c.TCPConn.Read(b)
 	c.listener.meter.Received(n)
 	return n, err
@@ -67,7 +67,7 @@
 	if now.Sub(c.waiter.admittedAt) <= maxReadWait {
 		return
 	}
-	c.Leave()
+	c.ReleaseReadSlot()
 	if c.owner.CompareAndSwap(ownedByServer, ownedByRefuser) {
 		c.listener.shed(c.TCPConn, now)
 	}
@@ -91,12 +91,12 @@
 	return max(n, 0)
 }
 
-// Leave releases the connection's read slot once its request is read.
-func (c *Conn) Leave() { c.listener.queue.release(c.waiter, c.listener.now()) }
+// ReleaseReadSlot releases the connection's read slot once its request is read.
+func (c *Conn) ReleaseReadSlot() { c.listener.queue.release(c.waiter, c.listener.now()) }
 
 // Close closes the connection, unless the refuser owns it.
 func (c *Conn) Close() error {
-	c.Leave()
+	c.ReleaseReadSlot()
 	if !c.owner.CompareAndSwap(ownedByServer, ownedByNone) && c.owner.Load() == ownedByRefuser {
 		return nil
 	}
--- a/pkg/admission/handover.go
+++ b/pkg/admission/handover.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// PassOn sets the function that hands connections over to other routers. It is tried before
+// SetHandover sets the function that hands connections over to other routers. It is tried before
 // admission while handoverOn returns true, and otherwise before a connection is shed. It must be
 // called before the first Accept.
-func (l *Listener) PassOn(handOver func(fd int, now time.Time) bool, handoverOn func() bool) {
+func (l *Listener) SetHandover(handOver func(fd int, now time.Time) bool, handoverOn func() bool) {
 	l.handOver, l.handoverOn = handOver, handoverOn
 }
 
--- a/pkg/admission/idle_test.go
+++ b/pkg/admission/idle_test.go
@@ -22,7 +22,7 @@
 	for waiting := 2; waiting >= 0; waiting-- {
 		c, err := l.Accept()
 		require.NoError(t, err)
-		c.(*Conn).Leave()
+		c.(*Conn).ReleaseReadSlot()
 		require.Equal(t, waiting > 0, l.rounds.slow(start), "%d connections wait", waiting)
 	}
 }
--- a/pkg/admission/link.go
+++ b/pkg/admission/link.go
@@ -75,8 +75,8 @@
 // Busy reports whether callers use so much of the link that connections should not be kept alive.
 func (l *Link) Busy(now time.Time) bool { return l != nil && l.utilisation(now) > busyShare }
 
-// Held returns how long admission was paused so far because the link was full.
-func (l *Link) Held() time.Duration {
+// PauseTime returns how long admission was paused so far because the link was full.
+func (l *Link) PauseTime() time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -112,5 +112,5 @@
 	}
 }
 
-// Over pauses admission while the link is full. It must be called before Accept.
-func (l *Listener) Over(link *Link) { l.link = link }
+// SetLink pauses admission while the link is full. It must be called before Accept.
+func (l *Listener) SetLink(link *Link) { l.link = link }
--- a/pkg/admission/link_test.go
+++ b/pkg/admission/link_test.go
@@ -50,7 +50,7 @@
 		}
 		var none *Link
 		require.False(t, none.Full(time.Now()))
-		require.Zero(t, none.Held())
+		require.Zero(t, none.PauseTime())
 	})
 }
 
@@ -62,7 +62,7 @@
 	l, err := New(tcp, 0, func(time.Duration) []byte { return nil })
 	require.NoError(t, err)
 	var received atomic.Int64
-	l.Over(NewLink(10, func() int64 { return received.Add(1e6) }))
+	l.SetLink(NewLink(10, func() int64 { return received.Add(1e6) }))
 	time.AfterFunc(3*minSampleInterval, func() { _ = l.Close() })
 	c, err := net.Dial("tcp", tcp.Addr().String())
 	require.NoError(t, err)
@@ -72,7 +72,7 @@
 	l.link.utilisation(began.Add(minSampleInterval))
 	_, err = l.Accept()
 	require.ErrorIs(t, err, net.ErrClosed)
-	require.Positive(t, l.link.Held())
+	require.Positive(t, l.link.PauseTime())
 }
 
 // Guards against a router that admits no new connection for as long as admitted ones fill its link.
@@ -88,6 +88,6 @@
 			l.waitForCapacity(time.Now, never)
 			require.Equal(t, maxAdmissionPause, time.Since(began))
 		}
-		require.Equal(t, 10*maxAdmissionPause, l.Held())
+		require.Equal(t, 10*maxAdmissionPause, l.PauseTime())
 	})
 }
--- a/pkg/admission/listener_test.go
+++ b/pkg/admission/listener_test.go
@@ -29,7 +29,7 @@
 func serveOn(t *testing.T, l *Listener, h http.HandlerFunc) {
 	s := &http.Server{Handler: h, ConnState: func(c net.Conn, state http.ConnState) {
 		if state == http.StateActive {
-			c.(*Conn).Leave()
+			c.(*Conn).ReleaseReadSlot()
 		}
 	}}
 	go s.Serve(l)
@@ -64,7 +64,7 @@
 	for range 20 {
 		require.Equal(t, http.StatusNoContent, get(t, addr).StatusCode)
 	}
-	refused, closed := l.TurnedAway()
+	refused, closed := l.ShedCounts()
 	require.Zero(t, refused+closed)
 }
 
@@ -81,7 +81,7 @@
 		require.NoError(t, err)
 		require.Equal(t, "no", string(body))
 	}
-	refused, closed := l.TurnedAway()
+	refused, closed := l.ShedCounts()
 	require.EqualValues(t, 20, refused)
 	require.Zero(t, closed)
 	l.queue.release(waiting, time.Now())
--- a/pkg/admission/refusal_test.go
+++ b/pkg/admission/refusal_test.go
@@ -71,7 +71,7 @@
 			c.Close()
 		}
 	}
-	refused, closed := l.TurnedAway()
+	refused, closed := l.ShedCounts()
 	require.Zero(t, closed, "%d were refused", refused)
 }
 
--- a/pkg/admission/stall_test.go
+++ b/pkg/admission/stall_test.go
@@ -33,7 +33,7 @@
 		}
 		s := &http.Server{Handler: http.NotFoundHandler(), ConnState: func(c net.Conn, state http.ConnState) {
 			if state == http.StateActive {
-				c.(*Conn).Leave()
+				c.(*Conn).ReleaseReadSlot()
 			}
 		}}
 		var callers, connected sync.WaitGroup
@@ -52,7 +52,7 @@
 		go s.Serve(l)
 		callers.Wait()
 		s.Close()
-		refused, closed := l.TurnedAway()
+		refused, closed := l.ShedCounts()
 		require.Zero(t, refused+closed, "stalled in round %d", stalled)
 	}
 }
--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -48,11 +48,11 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	taking.Over(p.inbound)
+	taking.SetLink(p.inbound)
 	p.fromCallersOf = append(p.fromCallersOf, taking.Traffic, p.handover.Traffic)
 	p.link.watch("handover", taking.Traffic)
 	p.link.watch("handover", p.handover.Traffic)
-	l.PassOn(p.handover.HandOver, func() bool { return p.pressure.lateBy() > handoverLate && len(targets.now()) > 0 })
+	l.SetHandover(p.handover.HandOver, func() bool { return p.pressure.lateBy() > handoverLate && len(targets.now()) > 0 })
 	p.handed = handedOver{count: p.handover.Counts, open: p.handover.OpenConns, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
 	return nil
 }
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -221,7 +221,7 @@
 	}
 	p.inbound = admission.NewLink(limits.LinkMbps, p.fromCallers)
 	p.fromCallersOf = append(p.fromCallersOf, l.Traffic)
-	l.Over(p.inbound)
+	l.SetLink(p.inbound)
 	callers := faceOn(facingCallers, l, p.gateway)
 	callers.server.ConnState = p.crowd.observe
 	callers.server.ConnContext = gateway.WithConn
@@ -230,14 +230,14 @@
 		return errors.Trace(err)
 	}
 	p.link.watch("callers", l.Traffic)
-	p.link.held = p.inbound.Held
-	p.pressure.wait = l.Wait
+	p.link.held = p.inbound.PauseTime
+	p.pressure.wait = l.EstimatedWait
 	p.pressure.calm = func() bool { return p.gateway.Active() == 0 }
 	p.telling.demand.count = func() (accepted, away int64) {
-		refused, closed := l.TurnedAway()
-		return l.Accepted(), refused + closed
+		refused, closed := l.ShedCounts()
+		return l.Admitted(), refused + closed
 	}
-	p.turnedAway = turnedAway{count: l.TurnedAway, takes: l.RefusalTime, share: l.Share, log: p.log, counter: p.metrics.Scope.Counter("connections_turned_away")}
+	p.turnedAway = turnedAway{count: l.ShedCounts, takes: l.RefusalCost, share: l.CPUShare, log: p.log, counter: p.metrics.Scope.Counter("connections_turned_away")}
 	return nil
 }
 
--- a/pkg/gatewayd/server.go
+++ b/pkg/gatewayd/server.go
@@ -55,7 +55,7 @@
 	switch s {
 	case http.StateActive:
 		if let, ok := conn.(*admission.Conn); ok {
-			let.Leave()
+			let.ReleaseReadSlot()
 		}
 	case http.StateNew:
 		c.open.Add(1)
