--- a/pkg/warmup/fleet_test.go
+++ b/pkg/warmup/fleet_test.go
@@ -57,7 +57,7 @@
 }
 
 func newSimFleet(t *rapid.T, maxRouters int) *simFleet {
-	f := &simFleet{t: t, now: time.Now(), upstream: newEngine("i", "a", 3*time.Second)}
+	f := &simFleet{t: t, now: time.Now(), upstream: newUpstream("i", "a", 3*time.Second)}
 	f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	for i := range rapid.IntRange(1, maxRouters).Draw(t, "routers") {
 		f.listed = append(f.listed, "r"+strconv.Itoa(i))
@@ -81,9 +81,9 @@
 	r.gate.SetUpstreams(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 }
 
-// injectFaults kills, freezes or restarts some routers at once.
-func (f *simFleet) injectFaults(most int) {
-	for range rapid.IntRange(1, most).Draw(f.t, "faults") {
+// injectFaults kills, freezes or restarts up to maxFaults routers at once.
+func (f *simFleet) injectFaults(maxFaults int) {
+	for range rapid.IntRange(1, maxFaults).Draw(f.t, "faults") {
 		f.toggle(f.pickTopRanked())
 	}
 }
@@ -185,7 +185,7 @@
 
 // Guards against routers that together exceed the limit while one or two of them die, freeze,
 // resume or start at once, and the others see that late and at different times.
-func TestColdUpstreamsKeepTheirBoundWhileRoutersComeAndGo(t *testing.T) {
+func TestColdLimitHoldsWhileRoutersFailAndRestart(t *testing.T) {
 	for most, size := range map[int]int{1: 9, 2: 24} {
 		t.Run(strconv.Itoa(most), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) { checkColdLimit(t, most, size) })
@@ -193,8 +193,8 @@
 	}
 }
 
-// checkColdLimit simulates a fleet of up to size routers, with faults in up to most of them at
-// once.
+// checkColdLimit simulates a fleet of up to size routers, with faults in up to maxFaults of them
+// at once.
 func checkColdLimit(t *rapid.T, maxFaults, size int) {
 	f := newSimFleet(t, size)
 	end, next := f.now.Add(simTime), f.now
