--- a/pkg/gatewayd/endpoint.go
+++ b/pkg/gatewayd/endpoint.go
@@ -55,7 +55,7 @@
 	switch s {
 	case http.StateActive:
 		if admitted, ok := conn.(*admission.Conn); ok {
-			admitted.Leave()
+			admitted.ReleaseReadSlot()
 		}
 	case http.StateNew:
 		c.open.Add(1)
--- a/pkg/gatewayd/handover.go
+++ b/pkg/gatewayd/handover.go
@@ -48,12 +48,12 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	inbound.Over(p.callerLink)
+	inbound.SetLink(p.callerLink)
 	p.callerTraffic = append(p.callerTraffic, inbound.Traffic, p.handover.Traffic)
 	p.linkUsage.watch("handover", inbound.Traffic)
 	p.linkUsage.watch("handover", p.handover.Traffic)
-	l.PassOn(p.handover.Take, func() bool { return p.cpu.delay() > handoverDelay && len(cache.get()) > 0 })
-	p.handoverStats = handoverStats{counts: p.handover.Counts, open: p.handover.Open, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
+	l.SetHandover(p.handover.HandOver, func() bool { return p.cpu.delay() > handoverDelay && len(cache.get()) > 0 })
+	p.handoverStats = handoverStats{counts: p.handover.Counts, open: p.handover.OpenConns, log: p.log, counter: p.metrics.Scope.Counter("connections_handed_over")}
 	return nil
 }
 
@@ -66,7 +66,7 @@
 		if !e.Ready || e.CPUStarved || e.Member.Handover == "" || e.Config < p.catalog.Version() {
 			continue
 		}
-		target := handover.Target{Addr: e.Member.Handover, Power: e.Member.Power, Config: e.Config}
+		target := handover.Target{Addr: e.Member.Handover, Cores: e.Member.Power, Config: e.Config}
 		if e.Member.Zone == p.fleet.Self().Zone {
 			sameZone = append(sameZone, target)
 		} else {
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -125,9 +125,9 @@
 	p.updateWarmup(s)
 	p.catalog.Follow(func(set *upstream.Set, known time.Time) {
 		p.pools.Follow(set, known)
-		p.warmup.Follow(set, time.Now())
+		p.warmup.SetUpstreams(set, time.Now())
 	})
-	p.catalog.FollowRestored(p.warmup.Restore)
+	p.catalog.FollowRestored(p.warmup.MarkRestored)
 	p.joiner = fleet.NewJoiner(p.exchange, d.Registry, s.Entries.Known, s.Router.FirstStart, l)
 	p.watcher = catalog.NewWatcher(p.catalog, d.Store, storeDuties{ranking: p.fleet, joined: p.joiner.Settled}, l)
 	p.gateway = gateway.New(gatewaySettings(s), gateway.Dependencies{
@@ -221,7 +221,7 @@
 	}
 	p.callerLink = admission.NewLink(limits.LinkMbps, p.bytesFromCallers)
 	p.callerTraffic = append(p.callerTraffic, l.Traffic)
-	l.Over(p.callerLink)
+	l.SetLink(p.callerLink)
 	callers := newEndpoint(callersEndpoint, l, p.gateway)
 	callers.server.ConnState = p.conns.observe
 	callers.server.ConnContext = gateway.WithConn
@@ -230,14 +230,14 @@
 		return errors.Trace(err)
 	}
 	p.linkUsage.watch("callers", l.Traffic)
-	p.linkUsage.paused = p.callerLink.Held
-	p.cpu.connWait = l.Wait
+	p.linkUsage.paused = p.callerLink.PauseTime
+	p.cpu.connWait = l.EstimatedWait
 	p.cpu.idle = func() bool { return p.gateway.Active() == 0 }
 	p.local.demand.counts = func() (accepted, rejected int64) {
-		refused, closed := l.TurnedAway()
-		return l.Accepted(), refused + closed
+		refused, closed := l.ShedCounts()
+		return l.Admitted(), refused + closed
 	}
-	p.rejections = rejections{counts: l.TurnedAway, meanTime: l.RefusalTime, coreShare: l.Share, log: p.log, counter: p.metrics.Scope.Counter("connections_turned_away")}
+	p.rejections = rejections{counts: l.ShedCounts, meanTime: l.RefusalCost, coreShare: l.CPUShare, log: p.log, counter: p.metrics.Scope.Counter("connections_turned_away")}
 	return nil
 }
 
--- a/pkg/warmup/fleet_test.go
+++ b/pkg/warmup/fleet_test.go
@@ -57,7 +57,7 @@
 }
 
 func newSimFleet(t *rapid.T, maxRouters int) *simFleet {
-	f := &simFleet{t: t, now: time.Now(), upstream: newEngine("i", "a", 3*time.Second)}
+	f := &simFleet{t: t, now: time.Now(), upstream: newUpstream("i", "a", 3*time.Second)}
 	f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 	for i := range rapid.IntRange(1, maxRouters).Draw(t, "routers") {
 		f.listed = append(f.listed, "r"+strconv.Itoa(i))
@@ -78,12 +78,12 @@
 	}
 	r.roster = Roster{Self: r.name, Routers: f.listed, Since: since, Joined: since, Known: r.roster.Known}
 	r.gate = r.fleet.gate()
-	r.gate.Follow(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
+	r.gate.SetUpstreams(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 }
 
-// injectFaults kills, freezes or restarts some routers at once.
-func (f *simFleet) injectFaults(most int) {
-	for range rapid.IntRange(1, most).Draw(f.t, "faults") {
+// injectFaults kills, freezes or restarts up to maxFaults routers at once.
+func (f *simFleet) injectFaults(maxFaults int) {
+	for range rapid.IntRange(1, maxFaults).Draw(f.t, "faults") {
 		f.toggle(f.pickTopRanked())
 	}
 }
@@ -162,7 +162,7 @@
 			continue
 		}
 		f.applyChanges(r)
-		for f.random.IntN(4) > 0 && r.gate.Take(&f.upstream, coldService, f.now) {
+		for f.random.IntN(4) > 0 && r.gate.Acquire(&f.upstream, coldService, f.now) {
 			f.sent = append(f.sent, f.now)
 		}
 	}
@@ -185,7 +185,7 @@
 
 // Guards against routers that together exceed the limit while one or two of them die, freeze,
 // resume or start at once, and the others see that late and at different times.
-func TestColdUpstreamsKeepTheirBoundWhileRoutersComeAndGo(t *testing.T) {
+func TestColdLimitHoldsWhileRoutersFailAndRestart(t *testing.T) {
 	for most, size := range map[int]int{1: 9, 2: 24} {
 		t.Run(strconv.Itoa(most), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) { checkColdLimit(t, most, size) })
@@ -193,8 +193,8 @@
 	}
 }
 
-// checkColdLimit simulates a fleet of up to size routers, with faults in up to most of them at
-// once.
+// checkColdLimit simulates a fleet of up to size routers, with faults in up to maxFaults of them
+// at once.
 func checkColdLimit(t *rapid.T, maxFaults, size int) {
 	f := newSimFleet(t, size)
 	end, next := f.now.Add(simTime), f.now
@@ -206,7 +206,7 @@
 		// A changed report each time keeps the upstream cold throughout.
 		f.upstream.WarmupLeft++
 		for _, r := range f.routers {
-			r.gate.Follow(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
+			r.gate.SetUpstreams(upstream.NewSet([]upstream.Instance{f.upstream}), f.now)
 		}
 		f.step()
 	}
