--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -11,8 +11,8 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// The store goes away for a minute. Requests are served on from the last copy, and what
-// changed meanwhile is there soon after its return.
+// The store is unavailable for a minute. The last copy stays in use, and changes made meanwhile
+// are known soon after the store recovers.
 func TestCatalogStaysInUseDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5}
@@ -24,7 +24,7 @@
 		require.EqualValues(t, 1, c.Version())
 		require.NotNil(t, c.Instances().Get("a"))
 		require.Greater(t, c.InstancesAge(time.Now()), 50*time.Second)
-		require.Equal(t, 2, h.count("dependency_lost"), "each watch says so once")
+		require.Equal(t, 2, h.count("dependency_lost"), "each watch logs it once")
 		s.update(func() { s.down, s.config, s.rev = false, &routing.Config{Version: 4}, 9 })
 		time.Sleep(2 * time.Second)
 		require.EqualValues(t, 4, c.Version())
@@ -32,9 +32,9 @@
 	})
 }
 
-// The store falls silent for some seconds; calls of that time are never answered, also
-// when it is back. The question for a newer configuration stays open for long: left to its
-// own timeout, it would keep a dropped key valid for half a minute.
+// The store stops responding for some seconds and never responds to calls from that time. The
+// request for a newer configuration stays open for long: if it ended only by its own timeout, a
+// removed key would stay valid for half a minute.
 func TestConfigRequestIsRenewedAfterASilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5}
@@ -48,8 +48,8 @@
 	})
 }
 
-// The store has forgotten its history, and an instance left in the gap: only reading the
-// whole list shows it.
+// The store has compacted its history, and an instance left in the compacted part: only reading
+// the whole list shows that.
 func TestWholeListIsReadWhenHistoryIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}, {ID: "b"}}, rev: 5}
@@ -62,9 +62,9 @@
 	})
 }
 
-// Each router's own questions about upstreams would cost calls that grow with the fleet.
-// A router that is told by its peers asks nothing; when they fall silent, or none of them
-// reaches the store, it asks within a second and a half.
+// If every router read the instance list, the cost of calls would grow with the fleet. A router
+// whose peers keep its list current sends no requests; when they stop, or none of them reaches the
+// store, it reads the store within a second and a half.
 func TestFollowersDoNotReadTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5, following: true}
@@ -82,13 +82,13 @@
 		s.mu.Unlock()
 		time.Sleep(followerMaxAge + 500*time.Millisecond)
 		require.Nil(t, c.Instances().Get("a"))
-		require.EqualValues(t, 2, c.Version(), "nobody tells of it any more")
-		require.False(t, c.Same(25), "the list has become another since")
+		require.EqualValues(t, 2, c.Version(), "peers no longer announce it")
+		require.False(t, c.Same(25), "the list has changed since")
 	})
 }
 
-// Nothing changes in the list for minutes, and a router that reads for many waits for a
-// change all that time. Those that go by it would take their list for old, and all ask.
+// The list does not change for minutes. If a router that reads for many others waited for a change
+// all that time, its followers would consider their list outdated and all read the store.
 func TestReadersForManyConfirmTheListOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}}, rev: 5, manyFollowers: true, longPoll: true}
@@ -101,7 +101,7 @@
 	})
 }
 
-// An answer of the store is late and overtaken by a peer's word of a newer version.
+// A late response of the store arrives after a peer has sent a newer version.
 func TestCatalogNeverGoesBack(t *testing.T) {
 	l, _ := newTestLogger()
 	c := New(l)
--- a/pkg/catalog/consistency_test.go
+++ b/pkg/catalog/consistency_test.go
@@ -14,7 +14,7 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// history is what a store was told, by revision.
+// history holds the states of a store, by revision.
 type history struct {
 	states []map[upstream.ID]upstream.Instance
 }
@@ -27,7 +27,7 @@
 	return slices.Collect(maps.Values(h.at(rev)))
 }
 
-// write puts an instance into the list, or takes it off.
+// write puts an instance into the list, or removes it if in is nil.
 func (h *history) write(id upstream.ID, in *upstream.Instance) {
 	next := maps.Clone(h.at(h.newest()))
 	delete(next, id)
@@ -37,7 +37,7 @@
 	h.states = append(h.states, next)
 }
 
-// changes leads from one revision to another: the newest entry of each row that was written.
+// changes returns the changes between two revisions: the newest entry of each row that was written.
 func (h *history) changes(after, rev Revision) []upstream.Change {
 	var list []upstream.Change
 	written := make(map[upstream.ID]bool)
@@ -63,7 +63,7 @@
 	return list
 }
 
-// action is a step of a play: what is done, by whom, and how.
+// action is a step of a random sequence: its kind, the routers that take part, and its parameters.
 type action struct{ kind, router, peer, id, state, pause int }
 
 func drawAction(t *rapid.T) action {
@@ -92,7 +92,7 @@
 		h.catchUp(c, routers[m.peer])
 	case 5:
 		time.Sleep(time.Duration(m.pause) * time.Millisecond)
-	case 6: // all lapse, and are back unchanged
+	case 6: // all entries expire and reappear unchanged
 		before := h.at(h.newest())
 		for id := range before {
 			h.write(id, nil)
@@ -105,7 +105,7 @@
 	synctest.Wait()
 }
 
-// catchUp has c take what peer knows more.
+// catchUp updates c with what peer knows.
 func (h *history) catchUp(c, peer *Catalog) {
 	c.Vouch(peer.Contact())
 	rev := c.InstancesRevision()
@@ -119,7 +119,8 @@
 	}
 }
 
-// firstInconsistent gives the first router whose list isn't that of its revision; -1 for none.
+// firstInconsistent returns the first router whose list differs from the store's at its revision; -1
+// for none.
 func (h *history) firstInconsistent(routers []*Catalog) int {
 	for i, r := range routers {
 		set, at, _ := r.List()
@@ -137,7 +138,8 @@
 	return -1
 }
 
-// Guards against routers whose lists differ at one revision, which "nothing changed since" relies on.
+// Guards against routers whose lists differ at the same revision: a peer that reports "unchanged
+// since" relies on equal lists.
 func TestListsAgreeAtARevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		moves := rapid.SliceOfN(rapid.Custom(drawAction), 200, 300).Draw(rt, "moves")
@@ -152,6 +154,6 @@
 				}
 			}
 		})
-		require.Equal(rt, -1, wrong, "this router's list isn't that of its revision")
+		require.Equal(rt, -1, wrong, "this router's list differs from the store's at its revision")
 	})
 }
--- a/pkg/catalog/contact_test.go
+++ b/pkg/catalog/contact_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a silence of the store that joined contacts hide.
+// Guards against an outage of the store that is hidden by merging contacts.
 func TestMergedContactsHideNoOutage(t *testing.T) {
 	start := time.Unix(0, 0)
 	rapid.Check(t, func(t *rapid.T) {
-		// The store answers at these times; each router hears some of the answers.
+		// The store responds at these times; each router receives some of the responses.
 		answers := rapid.SliceOfN(rapid.IntRange(0, 600), 1, 60).Draw(t, "answers")
 		at := func(tenths int) time.Time { return start.Add(time.Duration(tenths) * 100 * time.Millisecond) }
 		var routers [3]Contact
@@ -38,7 +38,7 @@
 						last = step
 					}
 				}
-				require.Equal(t, r.Until, last, "ends with an answer")
+				require.Equal(t, r.Until, last, "the contact ends with a response")
 			}
 		}
 	})
--- a/pkg/catalog/departures_test.go
+++ b/pkg/catalog/departures_test.go
@@ -12,11 +12,10 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// recoveryLimit is the time after the end of a disturbance from which on a router's list has to be
-// current.
+// recoveryLimit is how long after the end of a disturbance a router's list must be current.
 const recoveryLimit = 3 * time.Second
 
-// readyInstances gives n readyInstances instances of a service.
+// readyInstances returns n ready instances of a service.
 func readyInstances(service string, n int) []upstream.Instance {
 	list := make([]upstream.Instance, n)
 	for i := range list {
@@ -29,7 +28,7 @@
 	return []upstream.Change{{Instance: upstream.Instance{ID: in.ID}, Gone: true}}
 }
 
-// Guards against a departure that is held back as a lapse, as the router alone was away.
+// Guards against a departure that is held as an expired entry although only this router was cut off.
 func TestDeparturesWhileCutOffAreNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := readyInstances("s", 10)
@@ -40,12 +39,12 @@
 		time.Sleep(8 * time.Second)
 		s.update(func() { s.down, s.instances, s.rev = false, all[1:], 9 })
 		time.Sleep(500 * time.Millisecond)
-		require.Nil(t, c.Instances().Get(all[0].ID), "the store was there: nine of ten are on its list")
+		require.Nil(t, c.Instances().Get(all[0].ID), "the store was available: it lists nine of ten")
 		require.Len(t, c.Instances().Of("s"), 9)
 	})
 }
 
-// Guards against a removal after the router's return that is held back as a lapse.
+// Guards against a removal after the router reconnected that is held as an expired entry.
 func TestRemovalsAfterReconnectingAreNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := readyInstances("s", 10)
@@ -62,7 +61,7 @@
 	})
 }
 
-// Guards against a grace that ends with the next answer of the store in place of its own time.
+// Guards against a grace period that ends with the next response of the store instead of on time.
 func TestGracePeriodEndsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := readyInstances("s", 10)
@@ -75,16 +74,16 @@
 		for c.InstancesRevision() < 9 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Len(t, c.Instances().Of("s"), 10, "all lapsed")
-		// An answer just before the end of the grace begins a pause and then a question.
+		require.Len(t, c.Instances().Of("s"), 10, "all expired")
+		// A response just before the end of the grace period starts a pause and then a request.
 		time.Sleep(gracePeriod - instancesPause)
 		s.update(func() { s.changes, s.rev = []upstream.Change{{Instance: all[0]}}, 10 })
 		time.Sleep(instancesPause + 100*time.Millisecond)
-		require.Len(t, c.Instances().Of("s"), 1, "the others stayed away")
+		require.Len(t, c.Instances().Of("s"), 1, "the others did not register again")
 	})
 }
 
-// Guards against a departure that is not known in time, as connections to the store went silent.
+// Guards against a departure that is noticed late because connections to the store went silent.
 func TestDeparturesAreSeenInTimeOverSilentConnections(t *testing.T) {
 	for after := time.Duration(0); after < 4*time.Second; after += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -94,7 +93,7 @@
 			time.Sleep(3*time.Second + after)
 			leaving := append(readyInstances("s", 10)[1:], upstream.Instance{ID: all[0].ID, Service: "s", State: upstream.Draining})
 			s.update(func() {
-				s.connectionSilentSince = time.Now() // an open question gets no answer, nor does the next on its connection
+				s.connectionSilentSince = time.Now() // an open request gets no response, nor does the next on its connection
 				s.instances, s.rev = leaving, 6
 				s.changes = []upstream.Change{{Instance: leaving[9]}}
 			})
@@ -104,31 +103,33 @@
 	}
 }
 
-// Guards against a grace that goes on though other routers heard the store all the while.
+// Guards against a grace period that continues although other routers were in contact with the store
+// throughout.
 func TestPeersInContactWithTheStoreEndTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for name, first := range map[string]bool{"told before the list": true, "told after it": false} {
+		for name, first := range map[string]bool{"contact before the list": true, "contact after the list": false} {
 			l, _ := newTestLogger()
 			c := New(l)
 			all := readyInstances("s", 3)
 			c.Replace(all, 1, time.Now(), "store")
 			began := time.Now()
 			time.Sleep(8 * time.Second)
-			told := func() { c.Vouch(Contact{Since: began.Add(-time.Minute), Until: time.Now()}) }
+			mergeContact := func() { c.Vouch(Contact{Since: began.Add(-time.Minute), Until: time.Now()}) }
 			if first {
-				told()
+				mergeContact()
 			}
 			c.Replace(all[2:], 9, time.Now(), "store")
 			if !first {
-				require.Len(t, c.Instances().Of("s"), 3, "nobody knows of the store")
-				told()
+				require.Len(t, c.Instances().Of("s"), 3, "no router is known to have reached the store")
+				mergeContact()
 			}
 			require.Len(t, c.Instances().Of("s"), 1, name)
 		}
 	})
 }
 
-// Guards against instances that are given up, as a peer heard the store a part of the time.
+// Guards against instances that are removed because a peer was in contact with the store for a part
+// of the time.
 func TestPeersThatLostTheStoreDoNotEndTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
@@ -141,13 +142,13 @@
 		back := time.Now().Add(-time.Second)
 		c.Vouch(Contact{Since: back, Until: time.Now()})
 		c.Replace(all[2:], 9, time.Now(), "store")
-		require.Len(t, c.Instances().Of("s"), 3, "they may have lapsed")
+		require.Len(t, c.Instances().Of("s"), 3, "they may have expired")
 		keepContact(time.Until(back.Add(gracePeriod)), c)
-		require.Len(t, c.Instances().Of("s"), 1, "the grace began with the store's return")
+		require.Len(t, c.Instances().Of("s"), 1, "the grace period began with the store's recovery")
 	})
 }
 
-// Guards against an old list that passes for a current one, as its answer waited to be read.
+// Guards against an old list that passes for a current one because its response waited to be read.
 func TestResponsesReadLateKeepTheirAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: readyInstances("s", 3), rev: 5}
@@ -162,7 +163,8 @@
 	})
 }
 
-// Guards against a grace that ends while the store is away again: nobody had the time to be back.
+// Guards against a grace period that ends while the store is unavailable again, before instances had
+// time to register.
 func TestASecondOutageDoesNotEndTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: readyInstances("s", 10), rev: 5}
@@ -180,7 +182,7 @@
 	})
 }
 
-// Guards against entries that lapse just after the first list, which still had them all.
+// Guards against entries that expire just after the first list, which still contained all of them.
 func TestInstancesThatExpireAfterAFullListAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
--- a/pkg/catalog/entrylog_test.go
+++ b/pkg/catalog/entrylog_test.go
@@ -15,9 +15,9 @@
 	return upstream.Instance{ID: upstream.ID(id), State: upstream.Unusable, Fault: fault}
 }
 
-// Another writer replaces an upstream's entry with one that can't be used while the entries of
-// others lapse with the store. Held back like a lapsed one, the replaced entry would stay in
-// use for the grace.
+// Another writer replaces an upstream's entry with an unusable one while the entries of others
+// expire in an outage of the store. If it were held like an expired entry, the old entry would stay
+// in use for the grace period.
 func TestUnusableEntriesAreNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
@@ -26,7 +26,7 @@
 		time.Sleep(minOutage + time.Second)
 		c.Replace([]upstream.Instance{unusable("a", "no service"), {ID: "c", Service: "s"}}, 5, time.Now(), "store")
 		require.Equal(t, upstream.Unusable, c.Instances().Get("a").State)
-		require.NotNil(t, c.Instances().Get("b"), "it lapsed")
+		require.NotNil(t, c.Instances().Get("b"), "it expired")
 		c.Apply([]upstream.Change{{Instance: unusable("c", "no address")}}, 5, 6, time.Now(), "store")
 		require.Equal(t, upstream.Unusable, c.Instances().Get("c").State)
 		require.Len(t, c.Instances().Of("s"), 1)
@@ -36,8 +36,8 @@
 	})
 }
 
-// Somebody writes a hundred entries that can't be used, and writes them again and again. The
-// log says what is wrong once for each change, and never fills with it.
+// A faulty writer writes a hundred unusable entries again and again. The log names the fault once
+// for each change, and the number of lines is bounded.
 func TestUnusableEntriesAreLoggedOnceAndBounded(t *testing.T) {
 	l, h := newTestLogger()
 	c := New(l)
@@ -60,8 +60,8 @@
 	require.EqualValues(t, 102, c.Faults())
 }
 
-// Whoever breaks off an old life's attempts must know until when the old one was surely
-// listed: what was begun later may be at the new one.
+// Aborting the attempts at an old life of an instance requires the time until which that life was
+// certainly listed: attempts that began later may be at the new one.
 func TestListCallbackReceivesWhenThePreviousListWasCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
@@ -81,12 +81,12 @@
 	})
 }
 
-// Guards against departures that a router learns from a peer's whole list and that its log never names.
+// Guards against departures that a router learns from a peer's whole list and does not log.
 func TestDeparturesInWholeListsAreLogged(t *testing.T) {
 	l, h := newTestLogger()
 	c := New(l)
 	c.Replace([]upstream.Instance{{ID: "a", State: upstream.Ready}, {ID: "b", State: upstream.Ready}, {ID: "c"}}, 1, time.Now(), "store")
 	require.Zero(t, h.count("instance_changed"), "nothing was known before")
 	c.Replace([]upstream.Instance{{ID: "a", State: upstream.Draining}, {ID: "c"}}, 2, time.Now(), "peer")
-	require.Equal(t, 2, h.count("instance_changed"), "one drains, one is gone")
+	require.Equal(t, 2, h.count("instance_changed"), "one is draining, one was removed")
 }
--- a/pkg/catalog/evacuations_test.go
+++ b/pkg/catalog/evacuations_test.go
@@ -13,8 +13,8 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Guards against a zone that is forgotten to be evacuated while the store is away, and against
-// one that stays evacuated after it was restored.
+// Guards against an evacuation that is lost while the store is unavailable, and against one that
+// remains after the zone was restored.
 func TestEvacuationsHoldUntilRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, evacuated: map[string]bool{"a": true},
@@ -28,7 +28,7 @@
 		require.True(t, c.Evacuated("a"))
 		s.update(func() { s.down, s.rev, s.evacuated = false, 5, map[string]bool{"b": true} })
 		time.Sleep(5 * time.Second)
-		require.False(t, c.Evacuated("a"), "taken back while the store was away")
+		require.False(t, c.Evacuated("a"), "restored while the store was unavailable")
 		require.True(t, c.Evacuated("b"))
 		s.update(func() { s.rev, s.zoneChanges = 6, []ZoneChange{{Zone: "b", Restored: true}, {Zone: "nobody's"}} })
 		time.Sleep(time.Second)
@@ -38,12 +38,12 @@
 	})
 }
 
-// Guards against news that overtake each other: whatever comes late, twice or from peers, a
-// router never goes back to what was declared before.
+// Guards against updates that overtake each other: whether they arrive late, twice or from peers, a
+// router never returns to an older state.
 func TestEvacuationsOnlyMoveForward(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []string{"a", "b", "c"}
-		// history holds the evacuated zones at each revision, steps what changed in it.
+		// history holds the evacuated zones at each revision, steps the change of each revision.
 		history, steps := [][]string{nil}, []ZoneChange{{}}
 		for range rapid.IntRange(1, 20).Draw(t, "changes") {
 			ch := ZoneChange{Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Restored: rapid.Bool().Draw(t, "restored")}
