--- a/pkg/catalog/fake_test.go
+++ b/pkg/catalog/fake_test.go
@@ -14,52 +14,53 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// All tests here run in bubbles of testing/synctest: time.Sleep takes virtual time, which
-// passes only when every goroutine waits, and the verdict hangs on no machine's speed.
+// The tests with a fakeStore run in bubbles of testing/synctest: time.Sleep takes virtual time, which
+// passes only when every goroutine waits, so results do not depend on the machine's speed.
 
-// fakeStore answers as it is told; all calls take no time but the waits.
+// fakeStore responds as configured; calls take no time except for their waits.
 type fakeStore struct {
 	mu   sync.Mutex
 	down bool
-	// compacted is the revision up to which changes can't be told.
+	// compacted is the revision up to which changes are no longer available.
 	compacted Revision
 	config    *routing.Config
-	// evacuated are the zones that a read tells of, zoneChanges what a watch does.
+	// evacuated are the zones that a read returns, zoneChanges those that a watch returns.
 	evacuated   map[string]bool
 	zoneChanges []ZoneChange
 	instances   []upstream.Instance
 	changes     []upstream.Change
 	rev         Revision
-	// following makes the router leave the reading to others; asked counts its questions.
+	// following makes the router leave the reading to others.
 	following bool
-	// longPoll makes questions without news wait as long as they may.
+	// longPoll makes requests without changes stay open for their whole wait.
 	longPoll bool
-	// manyFollowers makes it read for manyFollowers.
+	// manyFollowers makes the router read for many others; listRequests counts requests for changed
+	// instances.
 	manyFollowers bool
 	listRequests  int
-	// storeCallers is how many routers share the store; refused counts the calls that failed.
+	// storeCallers is how many routers share the store; failedCalls counts the calls that failed.
 	storeCallers int
 	failedCalls  int
-	// configRequests counts questions for newer configurations.
+	// configRequests counts requests for newer configurations.
 	configRequests int
 	// readsConfig makes a follower wait for configurations itself.
 	readsConfig bool
-	// configDown makes questions for the configuration fail, and those alone.
+	// configDown makes only requests for the configuration fail.
 	configDown bool
-	// peerWait is how long the router leaves the store to others as it starts.
+	// peerWait is how long a starting router leaves the store to others.
 	peerWait time.Duration
-	// unresponsive leaves calls that come without an answer for good, as a connection that died in
-	// silence does.
+	// unresponsive makes new calls never get a response, as on a connection that died silently.
 	unresponsive bool
-	// processPause is how long the process stands still between the next answer and its reading.
+	// processPause is how long the process is paused between the next response and its reading.
 	processPause time.Duration
-	// endWaitOnChange makes a patient question end with the first news.
+	// endWaitOnChange makes a waiting request end with the first change.
 	endWaitOnChange bool
-	// connectionSilentSince is when the kept connection went silent; zero while it answers.
+	// connectionSilentSince is when the kept connection went silent; zero while it responds.
 	connectionSilentSince time.Time
 }
 
-// takeSilentConnection reports whether a question is on the connection that went silent. The one after it has a new connection.
+// takeSilentConnection reports whether a request is on the connection that went silent. The next
+// request has a new connection.
 func (s *fakeStore) takeSilentConnection() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +69,7 @@
 	return silent
 }
 
-// waitForChange waits until there is something newer than after, for wait at most.
+// waitForChange waits until there is a change newer than after, for at most wait.
 func (s *fakeStore) waitForChange(ctx context.Context, after Revision, wait time.Duration) {
 	const look = 10 * time.Millisecond
 	for begun := time.Now(); time.Since(begun) < wait && ctx.Err() == nil; waiting.For(ctx, look) {
@@ -92,7 +93,7 @@
 	return ctx.Err()
 }
 
-// ReadsInstances makes the store double as the router's duties.
+// ReadsInstances makes the fake store implement the router's role as well.
 func (s *fakeStore) ReadsInstances() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 	change()
 }
 
-// countFailedCalls is how many calls countFailedCalls since the store was last set down.
+// countFailedCalls returns how many calls failed since the counter was last reset.
 func (s *fakeStore) countFailedCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,14 +260,14 @@
 	return c, h
 }
 
-// fakeClockStart is when the fake store's steady clock was zero.
+// fakeClockStart is when the fake store's monotonic clock was zero.
 var fakeClockStart = time.Unix(0, 0)
 
 func (s *fakeStore) stamp() Stamp {
 	return Stamp{Revision: s.rev, Clock: time.Since(fakeClockStart)}
 }
 
-// keepContact has the store answer routers for a while, with nothing new.
+// keepContact keeps routers in contact with the store for a while, without changes.
 func keepContact(lasts time.Duration, routers ...*Catalog) {
 	const pause = 500 * time.Millisecond
 	for end := time.Now().Add(lasts); ; time.Sleep(pause) {
--- a/pkg/catalog/follower_test.go
+++ b/pkg/catalog/follower_test.go
@@ -11,8 +11,8 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// A router waits for configurations itself while peers keep its list current, and the store
-// fails its calls. Without a pause between them it made thousands.
+// A router waits for configurations itself while peers keep its list current, and the store fails
+// its calls. Without a pause between them the router makes thousands.
 func TestFailedCallsForConfigurationsPauseThoughTheListIsCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, storeCallers: 17, following: true, readsConfig: true,
@@ -28,8 +28,8 @@
 	})
 }
 
-// A router that starts in a large fleet leaves the store to others, and asks it itself when
-// nobody tells it in time.
+// A router that starts in a large fleet leaves the store to others, and reads it itself if no peer
+// sends the state in time.
 func TestAStartingRouterWaitsForItsPeersFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, following: true, peerWait: time.Second,
--- a/pkg/catalog/held_test.go
+++ b/pkg/catalog/held_test.go
@@ -12,9 +12,9 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// The store is away so long that the entries of all upstreams lapse; they are alive, and
-// write themselves in again within two seconds. Taken for gone, they would leave every
-// request without an upstream until then. One that stays away is gone.
+// The store is unavailable for so long that the entries of all upstreams expire; the upstreams are
+// alive and register again within two seconds. If they were removed, every request would lack an
+// upstream until then. One that does not register again is removed.
 func TestInstancesThatExpiredInAnOutageAreHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{config: &routing.Config{Version: 1}, instances: []upstream.Instance{{ID: "a"}, {ID: "b"}}, rev: 5}
@@ -32,33 +32,33 @@
 	})
 }
 
-// afterInterruption gives a router that was away and then read a list without the first instance, and
-// one that has known all the while that the list was current.
-func afterInterruption(l log.Interface, all []upstream.Instance) (away, current *Catalog) {
-	away, current = New(l), New(l)
-	away.Replace(all, 1, time.Now(), "store")
+// afterInterruption returns a router that was cut off and then read a list without the first
+// instance, and one that knew throughout that its list was current.
+func afterInterruption(l log.Interface, all []upstream.Instance) (disconnected, current *Catalog) {
+	disconnected, current = New(l), New(l)
+	disconnected.Replace(all, 1, time.Now(), "store")
 	current.Replace(all, 1, time.Now(), "store")
 	for began := time.Now(); time.Since(began) <= minOutage; {
 		time.Sleep(time.Second)
 		current.Confirm(1, time.Now())
 	}
-	away.Replace(all[1:], 5, time.Now(), "store")
-	return away, current
+	disconnected.Replace(all[1:], 5, time.Now(), "store")
+	return disconnected, current
 }
 
-// A router comes back after an outage and keeps, for the grace, instances that are missing
-// from the store's list; one of them has left for good. Told to another router as the
-// list at that revision, it would stay there for ever: no later change takes it away.
+// After an outage a router holds, for the grace period, instances that are missing from the store's
+// list; one of them has left for good. If another router received it as part of the list at that
+// revision, it would keep it forever, since no later change removes it.
 func TestListsForPeersOmitHeldInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
 		both := []upstream.Instance{{ID: "gone"}, {ID: "stays"}}
 		a, b := afterInterruption(l, both)
-		require.NotNil(t, a.Instances().Get("gone"), "it may have lapsed with the store")
+		require.NotNil(t, a.Instances().Get("gone"), "it may have expired in an outage")
 
 		list, rev, _ := a.List()
 		b.Replace(list.List(), rev, time.Now(), "peer")
-		require.Nil(t, b.Instances().Get("gone"), "b has known that the store was there")
+		require.Nil(t, b.Instances().Get("gone"), "b knows that the store was available")
 		keepContact(gracePeriod+time.Second, a, b)
 		require.Nil(t, a.Instances().Get("gone"))
 		require.Nil(t, b.Instances().Get("gone"))
@@ -67,12 +67,12 @@
 		c.Replace(both, 1, time.Now(), "store")
 		time.Sleep(minOutage + time.Second)
 		c.Replace(both[1:], 5, time.Now(), "peer")
-		require.NotNil(t, c.Instances().Get("gone"), "whoever tells c: it was without the store itself")
+		require.NotNil(t, c.Instances().Get("gone"), "whichever peer sent the list: c itself lost the store")
 	})
 }
 
-// The same, with the removal told by the feed within the grace: a router that asks what is
-// new since before must not be told that nothing is.
+// The removal arrives as a change within the grace period: a router that asks for changes since an
+// earlier revision must not receive the response that there are none.
 func TestHeldRemovalsChangeTheListForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
@@ -90,18 +90,19 @@
 	})
 }
 
-// Guards against followers that never hear of an instance which was held here and is back unchanged.
+// Guards against followers that never receive an instance that was held here and reappeared
+// unchanged.
 func TestReappearedInstancesChangeTheListForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := newTestLogger()
 		both := []upstream.Instance{{ID: "back"}, {ID: "stays"}}
 		a, b := afterInterruption(l, both)
-		told, rev, _ := a.List()
-		b.Replace(told.List(), rev, time.Now(), "peer")
+		listed, rev, _ := a.List()
+		b.Replace(listed.List(), rev, time.Now(), "peer")
 		require.Nil(t, b.Instances().Get("back"))
 		a.Apply([]upstream.Change{{Instance: both[0]}}, 5, 6, time.Now(), "store")
-		require.False(t, a.Same(5), "what was told at 5 lacks it")
-		told, _, _ = a.List()
-		require.NotNil(t, told.Get("back"))
+		require.False(t, a.Same(5), "the list sent at revision 5 lacks it")
+		listed, _, _ = a.List()
+		require.NotNil(t, listed.Get("back"))
 	})
 }
--- a/pkg/catalog/outage_test.go
+++ b/pkg/catalog/outage_test.go
@@ -11,9 +11,9 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// The store of a fleet of 63 routers is busy for eight seconds and turns all calls away. Each
-// router's list grows old, and each asks five times a second for the list and as often for the
-// configuration: over 5,000 calls in those seconds, all of them paid for, 0.12 of a day's worth.
+// The store of a fleet of 63 routers is overloaded for eight seconds and rejects all calls. Each
+// router's list becomes outdated. If each requested the list and the configuration five times a
+// second, they would make over 5,000 calls in that time, 0.12 of a day's calls, and all are paid for.
 func TestAnOverloadedStoreReceivesFewCalls(t *testing.T) {
 	const routers, busyFor = 63, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -27,7 +27,7 @@
 		time.Sleep(2 * time.Second)
 		s.update(func() { s.down, s.failedCalls = true, 0 })
 		time.Sleep(busyFor)
-		require.Less(t, s.countFailedCalls(), 10*routers, "calls of all routers while the store was busy")
+		require.Less(t, s.countFailedCalls(), 10*routers, "calls of all routers while the store was overloaded")
 		s.update(func() {
 			s.down, s.rev = false, 2
 			s.changes = []upstream.Change{{Instance: upstream.Instance{ID: "i", Service: "s", State: upstream.Draining}}}
@@ -35,13 +35,13 @@
 		})
 		time.Sleep(3 * time.Second)
 		for _, c := range catalogs {
-			require.Equal(t, upstream.Draining, c.Instances().Get("i").State, "nobody is left behind for long")
+			require.Equal(t, upstream.Draining, c.Instances().Get("i").State, "every router catches up soon")
 		}
 	})
 }
 
-// A router that reads for the others asks at the shortest pause: all of them hear of the
-// store's return from it.
+// A router that reads for the others retries at the shortest pause: all of them learn of the store's
+// recovery from it.
 func TestReadersRetryAnOverloadedStoreOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 1, config: &routing.Config{Version: 1}, storeCallers: 63}
--- a/pkg/catalog/reappeared_test.go
+++ b/pkg/catalog/reappeared_test.go
@@ -10,14 +10,11 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// The store comes back after an outage and all entries have lapsed. One upstream writes itself in
-// again just as the grace ends: the router reads its entry, sees nothing new, and then takes the
-// upstream off its list as one that stayed away. Another router reads the whole list and has it.
-// From then on their lists differ at the same revision, and the first tells a third that nothing
-// has changed when that upstream leaves: requests reached it 2.3 s after it had said so.
-//
-//	14.7524 a-2 instance_changed gone=true revision=56 source="grace after an outage"
-//	27.6249 a-1 instances_read instances=17 revision=60 (a-2 has 15 at revision 60)
+// The store recovers from an outage in which all entries expired. One upstream registers again just
+// as the grace period ends: the router reads its entry, sees no change, and then removes the upstream
+// as one that is still missing. Another router reads the whole list, which contains it. From then on
+// their lists differ at the same revision, and the first router reports "unchanged" to a third when
+// that upstream leaves, so that requests reach it 2.3 s after it announced its departure.
 func TestAnUpstreamThatReappearsAsTheGracePeriodEndsStays(t *testing.T) {
 	one := upstream.Instance{ID: "one", Service: "s", State: upstream.Ready}
 	for name, comes := range map[string]func(*Catalog){
@@ -34,13 +31,13 @@
 			c.Replace([]upstream.Instance{one}, 1, time.Now(), "store")
 			time.Sleep(2 * minOutage)
 			c.Replace(nil, 2, time.Now(), "store")
-			require.NotNil(t, c.Instances().Get("one"), "kept for the grace")
+			require.NotNil(t, c.Instances().Get("one"), "held for the grace period")
 			time.Sleep(gracePeriod)
 			comes(c)
 			keepContact(0, c)
 			require.NotNil(t, c.Instances().Get("one"), name)
 			set, _, _ := c.List()
-			require.NotNil(t, set.Get("one"), "others are told of it, %s", name)
+			require.NotNil(t, set.Get("one"), "peers receive it, %s", name)
 		})
 	}
 }
--- a/pkg/catalog/restorations_test.go
+++ b/pkg/catalog/restorations_test.go
@@ -10,8 +10,7 @@
 	"github.com/flamingowind/flamingowind/pkg/routing"
 )
 
-// Guards against a fleet that starts anew just after a zone was restored, so that nobody can tell
-// of it.
+// Guards against a restoration that no router knows of, as the whole fleet started just after it.
 func TestRestorationsBeforeTheStartAreReadFromHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rev: 5000, config: &routing.Config{Version: 1}, zoneChanges: []ZoneChange{{Zone: "a", Restored: true}, {Zone: "b"}}}
@@ -25,8 +24,8 @@
 	})
 }
 
-// Guards against a router that starts just after a zone was restored and takes its upstreams for
-// warm, and against restorations that are taken anew with each report.
+// Guards against a router that starts just after a zone was restored and considers its upstreams
+// warm, and against restorations that are applied again with each report.
 func TestRestorationsAreAppliedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, h := newTestLogger()
--- a/pkg/catalog/sim_run_test.go
+++ b/pkg/catalog/sim_run_test.go
@@ -17,11 +17,11 @@
 	simSeeds  = 15
 	simLength = time.Minute
 	simStep   = 20 * time.Millisecond
-	// drainLimit is the time after which a calm router gives nothing to an upstream that left.
+	// drainLimit is the time after which an undisturbed router sends no requests to an upstream that left.
 	drainLimit = 2 * time.Second
 )
 
-// departedInUse gives what a router still uses though it left.
+// departedInUse describes an upstream that the router still uses although it left; empty for none.
 func (r *simRouter) departedInUse(now time.Time) string {
 	if !r.undisturbed(now) {
 		return ""
@@ -34,7 +34,8 @@
 	return ""
 }
 
-// lostUpstreams gives how a router lacks the upstreams that it knew and that are alive.
+// lostUpstreams describes a router that has no usable upstream although some that it knew are alive;
+// empty for none.
 func (r *simRouter) lostUpstreams() string {
 	usable, lost := 0, 0
 	for id := range r.sim.alive {
@@ -47,13 +48,13 @@
 		}
 	}
 	if usable == 0 && lost > 0 {
-		return fmt.Sprintf("router %d knows none of %d upstreams, %d of which it knew", r.rank, len(r.sim.alive), lost)
+		return fmt.Sprintf("router %d has none of %d live upstreams, %d of which it knew before", r.rank, len(r.sim.alive), lost)
 	}
 	return ""
 }
 
-// Guards against upstreams that are used after they left, and against lapses that leave none, as
-// routers and the store are away in any order.
+// Guards against upstreams that are used after they left, and against expired entries that leave a
+// router without upstreams, while routers and the store are cut off in any order.
 func TestDeparturesAndExpiredEntriesAreDistinguished(t *testing.T) {
 	for seed := range uint64(simSeeds) {
 		synctest.Test(t, func(t *testing.T) {
--- a/pkg/catalog/sim_test.go
+++ b/pkg/catalog/sim_test.go
@@ -15,25 +15,24 @@
 	"github.com/flamingowind/flamingowind/pkg/upstream"
 )
 
-// Times of simulated upstreams: entries lapse after three heartbeats, and are back within a
-// heartbeat of the store's return.
+// Timing of simulated upstreams: entries expire after three heartbeats, and reappear within a
+// heartbeat of the store's recovery.
 const (
 	simHeartbeat = 1200 * time.Millisecond
 	simEntryTTL  = 3 * simHeartbeat
 	simLatency   = 4 * time.Millisecond
 )
 
-// sim is a store with upstreams and routers that are cut off from it and from each other.
+// sim simulates a store with upstreams, and routers that are cut off from it and from each other.
 type sim struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	history history
-	// storeDown is whether the store answers nobody, since when it does.
+	// storeDown is whether the store is unavailable, storeChangedAt when that last changed.
 	storeDown      bool
 	storeChangedAt time.Time
-	// departed is when an upstream's departure was accepted by a store that was there for a while (others
-	// bind nobody), alive holds the others and when each last
-	// renewed its entry.
+	// departed is when each upstream left while the store had been available for a while; earlier
+	// departures are not checked. alive holds the others and when each last renewed its entry.
 	departed map[upstream.ID]time.Time
 	alive    map[upstream.ID]time.Time
 	// nextHeartbeat is when an upstream tries to renew its entry next.
@@ -48,7 +47,7 @@
 	sim     *sim
 	rank    int
 	catalog *Catalog
-	// cutStore and cutPeers are until when it is cut off.
+	// cutStore and cutPeers are the times until which it is cut off from the store and from its peers.
 	cutStore, cutPeers time.Time
 	// known are the upstreams that it has used.
 	known map[upstream.ID]bool
@@ -56,10 +55,10 @@
 
 const simService = "s"
 
-// simReports is how many reports routers make in a step: each to each other in about 100 ms.
+// simReports is the number of reports in a step: each router reports to each other one in about 100 ms.
 const simReports = 5
 
-// simUpstreams is how many upstreams serve at a time, simRouters how many routers.
+// simUpstreams is how many upstreams serve at a time, simRouters the number of routers.
 const (
 	simUpstreams = 8
 	simRouters   = 5
@@ -85,7 +84,7 @@
 	s.history.write(id, &upstream.Instance{ID: id, Service: simService, State: upstream.Ready})
 }
 
-// removeUpstream takes an upstream away, with a word before or without.
+// removeUpstream removes an upstream, with or without draining first.
 func (s *sim) removeUpstream() {
 	ids := slices.Sorted(maps.Keys(s.alive))
 	id := ids[s.random.IntN(len(ids))]
@@ -100,12 +99,12 @@
 	s.history.write(id, nil)
 }
 
-// heartbeat renews entries while the store is there, and lapses those that weren't renewed.
+// heartbeat renews entries while the store is available, and removes those that expired.
 func (s *sim) heartbeat(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(s.alive)) {
 		_, listed := s.history.at(s.history.newest())[id]
 		if now.Before(s.nextHeartbeat[id]) {
-			// It is not its time.
+			// The next heartbeat is not due.
 		} else if s.nextHeartbeat[id] = now.Add(simHeartbeat); !s.storeDown {
 			s.alive[id] = now
 			if !listed {
@@ -119,12 +118,12 @@
 	}
 }
 
-// happens gives whether something that comes so many times a minute comes in this step.
+// happens reports whether an event with a rate of perMinute happens in this step.
 func (s *sim) happens(perMinute float64, step time.Duration) bool {
 	return s.random.Float64() < perMinute*step.Minutes()
 }
 
-// step lets a while pass: departures, cuts, outages, and what routers tell each other.
+// step simulates one step: departures, interruptions, outages and reports between routers.
 func (s *sim) step(step time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +157,7 @@
 	}
 }
 
-// receiveReport is a report of another router, and the question for what it knows more.
+// receiveReport handles a report of another router, and fetches its list if that is newer.
 func (r *simRouter) receiveReport(from *simRouter) {
 	c, peer := r.catalog, from.catalog
 	c.Vouch(peer.Contact())
@@ -174,13 +173,13 @@
 	}
 }
 
-// undisturbed reports whether nothing has disturbed a router or the store for a while.
+// undisturbed reports whether neither the router nor the store was disturbed for recoveryLimit.
 func (r *simRouter) undisturbed(now time.Time) bool {
 	s := r.sim
 	return !s.storeDown && now.Sub(s.storeChangedAt) >= recoveryLimit && now.Sub(r.cutStore) >= recoveryLimit && now.Sub(r.cutPeers) >= recoveryLimit
 }
 
-// request waits until the store has an answer for r, as long as ctx.
+// request waits until the store responds to r, or until ctx ends.
 func (r *simRouter) request(ctx context.Context, wait time.Duration, news func() bool) error {
 	waiting.For(ctx, simLatency)
 	for began := time.Now(); ctx.Err() == nil; waiting.For(ctx, simLatency) {
--- a/pkg/catalog/storeclock_test.go
+++ b/pkg/catalog/storeclock_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against answers that are dated later than they were made, whatever they waited for.
+// Guards against responses that are dated later than they were sent, whatever delayed them.
 func TestResponsesAreNeverDatedTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c storeClock
@@ -18,25 +18,25 @@
 		ms := func(most int, what string) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, what)) * time.Millisecond
 		}
-		for range rapid.IntRange(1, 50).Draw(t, "answers") {
-			asked := now + ms(700, "pause")
-			made := asked + ms(1500, "there")
-			read := made + ms(4000, "back")
-			date := c.asOf(start.Add(asked), start.Add(read), began+made)
-			require.False(t, date.After(start.Add(made)))
-			require.False(t, date.Before(start.Add(asked)))
+		for range rapid.IntRange(1, 50).Draw(t, "responses") {
+			requested := now + ms(700, "pause")
+			sent := requested + ms(1500, "there")
+			read := sent + ms(4000, "back")
+			date := c.asOf(start.Add(requested), start.Add(read), began+sent)
+			require.False(t, date.After(start.Add(sent)))
+			require.False(t, date.Before(start.Add(requested)))
 			now = read
 		}
 	})
 }
 
-// Guards against dates by a clock that has jumped.
+// Guards against dating responses by a clock that jumped.
 func TestClockJumpsAreDetected(t *testing.T) {
 	var c storeClock
 	start, quick := time.Unix(1_000_000, 0), 4*time.Millisecond
 	for i, clock := range []time.Duration{time.Hour, time.Hour + time.Second, time.Minute, time.Minute + time.Second, 2 * time.Hour} {
-		asked := start.Add(time.Duration(i) * time.Second)
-		require.WithinDuration(t, asked, c.asOf(asked, asked.Add(quick), clock), quick)
+		requested := start.Add(time.Duration(i) * time.Second)
+		require.WithinDuration(t, requested, c.asOf(requested, requested.Add(quick), clock), quick)
 	}
 	require.Equal(t, start, c.asOf(start.Add(-time.Second), start, 0), "a store without a clock")
 }
