--- a/pkg/catalog/departures_test.go
+++ b/pkg/catalog/departures_test.go
@@ -40,7 +40,7 @@
 		s.update(func() { s.down, s.instances, s.rev = false, all[1:], 9 })
 		time.Sleep(500 * time.Millisecond)
 		require.Nil(t, c.Instances().Get(all[0].ID), "the store was available: it lists nine of ten")
-		require.Len(t, c.Instances().Of("s"), 9)
+		require.Len(t, c.Instances().ByService("s"), 9)
 	})
 }
 
@@ -74,12 +74,12 @@
 		for c.InstancesRevision() < 9 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Len(t, c.Instances().Of("s"), 10, "all expired")
+		require.Len(t, c.Instances().ByService("s"), 10, "all expired")
 		// A response just before the end of the grace period starts a pause and then a request.
 		time.Sleep(gracePeriod - instancesPause)
 		s.update(func() { s.changes, s.rev = []upstream.Change{{Instance: all[0]}}, 10 })
 		time.Sleep(instancesPause + 100*time.Millisecond)
-		require.Len(t, c.Instances().Of("s"), 1, "the others did not register again")
+		require.Len(t, c.Instances().ByService("s"), 1, "the others did not register again")
 	})
 }
 
@@ -120,10 +120,10 @@
 			}
 			c.Replace(all[2:], 9, time.Now(), "store")
 			if !first {
-				require.Len(t, c.Instances().Of("s"), 3, "no router is known to have reached the store")
+				require.Len(t, c.Instances().ByService("s"), 3, "no router is known to have reached the store")
 				mergeContact()
 			}
-			require.Len(t, c.Instances().Of("s"), 1, name)
+			require.Len(t, c.Instances().ByService("s"), 1, name)
 		}
 	})
 }
@@ -142,9 +142,9 @@
 		back := time.Now().Add(-time.Second)
 		c.Vouch(Contact{Since: back, Until: time.Now()})
 		c.Replace(all[2:], 9, time.Now(), "store")
-		require.Len(t, c.Instances().Of("s"), 3, "they may have expired")
+		require.Len(t, c.Instances().ByService("s"), 3, "they may have expired")
 		keepContact(time.Until(back.Add(gracePeriod)), c)
-		require.Len(t, c.Instances().Of("s"), 1, "the grace period began with the store's recovery")
+		require.Len(t, c.Instances().ByService("s"), 1, "the grace period began with the store's recovery")
 	})
 }
 
@@ -178,7 +178,7 @@
 		}
 		s.update(func() { s.down = true })
 		time.Sleep(8 * time.Second)
-		require.Len(t, c.Instances().Of("s"), 10)
+		require.Len(t, c.Instances().ByService("s"), 10)
 	})
 }
 
@@ -194,8 +194,8 @@
 		for i, in := range all {
 			c.Apply(removal(in), Revision(1+i), Revision(2+i), time.Now(), "store")
 		}
-		require.Len(t, c.Instances().Of("s"), 4, "two removals may have been departures")
+		require.Len(t, c.Instances().ByService("s"), 4, "two removals may have been departures")
 		keepContact(gracePeriod, c)
-		require.Empty(t, c.Instances().Of("s"))
+		require.Empty(t, c.Instances().ByService("s"))
 	})
 }
--- a/pkg/catalog/entrylog_test.go
+++ b/pkg/catalog/entrylog_test.go
@@ -29,7 +29,7 @@
 		require.NotNil(t, c.Instances().Get("b"), "it expired")
 		c.Apply([]upstream.Change{{Instance: unusable("c", "no address")}}, 5, 6, time.Now(), "store")
 		require.Equal(t, upstream.Unusable, c.Instances().Get("c").State)
-		require.Len(t, c.Instances().Of("s"), 1)
+		require.Len(t, c.Instances().ByService("s"), 1)
 		keepContact(gracePeriod+time.Second, c)
 		require.Nil(t, c.Instances().Get("b"))
 		require.NotNil(t, c.Instances().Get("c"))
--- a/pkg/forward/pools.go
+++ b/pkg/forward/pools.go
@@ -24,7 +24,7 @@
 
 // isListed reports whether set contains the life at the address of key.
 func isListed(set *upstream.Set, key poolKey) bool {
-	return set.Lives(key.life) && set.Get(key.life.ID).Addr == key.addr
+	return set.IsCurrent(key.life) && set.Get(key.life.ID).Addr == key.addr
 }
 
 // isReady reports whether set lists that life as ready, so that it isn't about to terminate.
--- a/pkg/gateway/place.go
+++ b/pkg/gateway/place.go
@@ -90,7 +90,7 @@
 // candidates appends to list the instances that the request may be sent to. cold is the number of
 // instances that are excluded because they are cold.
 func (g *Gateway) candidates(list []placement.Candidate, r *request, now time.Time) (_ []placement.Candidate, cold int) {
-	members := g.catalog.Instances().Of(r.service.Name)
+	members := g.catalog.Instances().ByService(r.service.Name)
 	cached := g.prefixIndex.Lookup(r.prefixes, now)
 	g.health.EachUsable(members, now, func(inst *upstream.Instance, handicap time.Duration) {
 		if !g.catalog.Placeable(inst) || r.tried[inst.ID] {
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -252,7 +252,7 @@
 	if ownTimeout && g.cpuStarved() {
 		return upstream.Failed
 	}
-	return upstream.Silent
+	return upstream.ConnectionFailed
 }
 
 // endExpired ends a request whose deadline has passed or whose caller has left.
--- a/pkg/gatewayd/life_test.go
+++ b/pkg/gatewayd/life_test.go
@@ -97,7 +97,7 @@
 				m.local.AddPrefixes(list)
 				cached[of.Life()] = true
 			case "fail":
-				m.health.Observe(of.Life(), upstream.Silent, now)
+				m.health.Observe(of.Life(), upstream.ConnectionFailed, now)
 				failed[of.Life()] = true
 			case "use":
 				m.local.prefixIndex.RecordUse(of.Life(), promptPrefixes, now)
@@ -135,7 +135,7 @@
 	require.Zero(t, m.local.loads.Load(m.present().Life()).Running)
 	later := m.local.loads.Begin(m.present().Life(), placement.Work{})
 	work.End()
-	m.health.Observe(old.Life(), upstream.Silent, time.Now())
+	m.health.Observe(old.Life(), upstream.ConnectionFailed, time.Now())
 	require.Equal(t, 1, m.local.loads.Load(next.Life()).Running)
 	_, usable := m.health.Usable(next.Life(), time.Now())
 	require.True(t, usable)
--- a/pkg/placement/load_tracker.go
+++ b/pkg/placement/load_tracker.go
@@ -90,7 +90,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for life := range t.longShares {
-		if !set.Lives(life) {
+		if !set.IsCurrent(life) {
 			delete(t.longShares, life)
 		}
 	}
--- a/pkg/upstream/health.go
+++ b/pkg/upstream/health.go
@@ -32,8 +32,8 @@
 	Served Outcome = iota
 	// Failed is a response that reports a failure or is malformed.
 	Failed
-	// Silent is a connection that could not be opened or broke off.
-	Silent
+	// ConnectionFailed is a connection that could not be opened or broke off.
+	ConnectionFailed
 )
 
 // Health tracks the recent outcomes of instances as seen by this router's own attempts. Records are
@@ -44,7 +44,7 @@
 }
 
 type record struct {
-	connectionFailures int // Silent outcomes in a row, apart from those during a suspension
+	connectionFailures int // ConnectionFailed outcomes in a row, apart from those during a suspension
 	suspendedUntil     time.Time
 	failureRate        float64
 }
@@ -116,7 +116,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for life := range h.records {
-		if !set.Lives(life) {
+		if !set.IsCurrent(life) {
 			delete(h.records, life)
 		}
 	}
--- a/pkg/upstream/health_test.go
+++ b/pkg/upstream/health_test.go
@@ -13,16 +13,16 @@
 // together, and twenty failures in a row would suspend it long after it is back.
 func TestHealthCountsOneCrashOnce(t *testing.T) {
 	h, now := NewHealth(), time.Unix(0, 0)
-	require.Equal(t, minSuspension, h.Observe(a, Silent, now))
+	require.Equal(t, minSuspension, h.Observe(a, ConnectionFailed, now))
 	for range 20 {
-		require.Zero(t, h.Observe(a, Silent, now))
+		require.Zero(t, h.Observe(a, ConnectionFailed, now))
 	}
 	_, ok := h.Usable(a, now)
 	require.False(t, ok)
 	handicap, ok := h.Usable(a, now.Add(minSuspension))
 	require.True(t, ok)
 	require.Positive(t, handicap)
-	require.Equal(t, 2*minSuspension, h.Observe(a, Silent, now.Add(minSuspension)))
+	require.Equal(t, 2*minSuspension, h.Observe(a, ConnectionFailed, now.Add(minSuspension)))
 }
 
 func TestHealthHandicapsFailuresAndForgives(t *testing.T) {
@@ -43,7 +43,7 @@
 
 func TestSetApply(t *testing.T) {
 	s := NewSet([]Instance{{ID: "b", Service: "x"}, {ID: "a", Service: "x"}})
-	require.Equal(t, ID("a"), s.Of("x")[0].ID)
+	require.Equal(t, ID("a"), s.ByService("x")[0].ID)
 	same, differs := s.Apply([]Change{{Instance: Instance{ID: "a", Service: "x"}}, {Instance: Instance{ID: "z"}, Gone: true}})
 	require.False(t, differs)
 	require.Same(t, s, same)
--- a/pkg/upstream/set.go
+++ b/pkg/upstream/set.go
@@ -56,8 +56,8 @@
 // Get returns the instance with an ID; nil when there is none.
 func (s *Set) Get(id ID) *Instance { return s.byID[id] }
 
-// Lives reports whether life is the current one of its instance.
-func (s *Set) Lives(life Life) bool {
+// IsCurrent reports whether life is the current one of its instance.
+func (s *Set) IsCurrent(life Life) bool {
 	in := s.byID[life.ID]
 	return in != nil && in.State != Unusable && in.Life() == life
 }
@@ -72,8 +72,8 @@
 	return false
 }
 
-// Of returns the instances of a service, ordered by ID. Callers must not change the list.
-func (s *Set) Of(service string) []*Instance { return s.byService[service] }
+// ByService returns the instances of a service, ordered by ID. Callers must not change the list.
+func (s *Set) ByService(service string) []*Instance { return s.byService[service] }
 
 // List returns all instances, in no particular order.
 func (s *Set) List() []Instance {
