--- a/pkg/backoff/backoff.go
+++ b/pkg/backoff/backoff.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// First is the pause after the first failure, which may have been a single lost packet.
-	First = 200 * time.Millisecond
+	// InitialPause is the pause after the first failure, which may have been a single lost packet.
+	InitialPause = 200 * time.Millisecond
 	// baseMaxPause bounds the pauses in fleets of up to largeFleet callers, so that a router that
 	// no other router informs of the store's recovery notices it within this time. In larger fleets
 	// the bound grows with the number of callers up to largeFleetMaxPause.
@@ -38,17 +38,17 @@
 
 // Failed returns the pause before the next call when the given number of callers share the service.
 func (b *Backoff) Failed(callers int) time.Duration {
-	b.pause = min(max(First, 2*b.pause), Longest(callers))
+	b.pause = min(max(InitialPause, 2*b.pause), MaxPause(callers))
 	return time.Duration(float64(b.pause) * (1 - jitter*rand.Float64()))
 }
 
-// Longest returns the longest pause for a number of callers.
-func Longest(callers int) time.Duration {
+// MaxPause returns the longest pause for a number of callers.
+func MaxPause(callers int) time.Duration {
 	if callers <= smallFleet {
-		return First
+		return InitialPause
 	}
 	if callers > largeFleet {
 		return min(largeFleetMaxPause, baseMaxPause*time.Duration(callers)/largeFleet)
 	}
-	return min(baseMaxPause, First*time.Duration(callers)/smallFleet*2)
+	return min(baseMaxPause, InitialPause*time.Duration(callers)/smallFleet*2)
 }
--- a/pkg/catalog/watch.go
+++ b/pkg/catalog/watch.go
@@ -137,9 +137,9 @@
 	pause, began := failures.Failed(w.role.Callers()), time.Now()
 	for {
 		if w.role.ReadsInstances() {
-			pause = backoff.First
+			pause = backoff.InitialPause
 		}
-		left := min(pause, backoff.Longest(w.role.Callers())) - time.Since(began)
+		left := min(pause, backoff.MaxPause(w.role.Callers())) - time.Since(began)
 		if left <= 0 || told() || !waiting.For(ctx, min(left, staleCheckPause)) {
 			return
 		}
