--- a/pkg/marks/hosts.go
+++ b/pkg/marks/hosts.go
@@ -8,24 +8,24 @@
 	"github.com/flamingowind/flamingowind/pkg/platform"
 )
 
-// Hosts reads the host list of the platform and adds the marks in it to a store: membership and
+// RecordingHosts reads the host list of the platform and adds the marks in it to a store: membership and
 // marks share one read of the platform.
-type Hosts struct {
+type RecordingHosts struct {
 	list  platform.Hosts
 	store *Store
 }
 
-// NewHosts returns a Hosts that reads from hosts and adds the marks to store.
-func NewHosts(hosts platform.Hosts, store *Store) *Hosts {
-	return &Hosts{list: hosts, store: store}
+// NewHosts returns a RecordingHosts that reads from hosts and adds the marks to store.
+func NewHosts(hosts platform.Hosts, store *Store) *RecordingHosts {
+	return &RecordingHosts{list: hosts, store: store}
 }
 
 // Hosts reads the host list and adds its marks to the store.
-func (h *Hosts) Hosts(ctx context.Context) (platform.HostList, error) {
+func (h *RecordingHosts) Hosts(ctx context.Context) (platform.HostList, error) {
 	list, err := h.list.Hosts(ctx)
 	if err != nil {
 		return list, errors.Trace(err)
 	}
-	h.store.Read(list)
+	h.store.ApplyHostList(list)
 	return list, nil
 }
--- a/pkg/marks/store.go
+++ b/pkg/marks/store.go
@@ -69,9 +69,9 @@
 	s.merge(time.Now(), marks)
 }
 
-// Read merges the marks of a host list. An upstream that the list no longer names keeps its last
+// ApplyHostList merges the marks of a host list. An upstream that the list no longer names keeps its last
 // mark: the list lags behind, so a missing entry says nothing.
-func (s *Store) Read(list platform.HostList) {
+func (s *Store) ApplyHostList(list platform.HostList) {
 	var marks []wire.UpstreamMark
 	for _, h := range list.Hosts {
 		if h.Kind != platform.HostUpstream {
--- a/pkg/marks/store_test.go
+++ b/pkg/marks/store_test.go
@@ -18,12 +18,12 @@
 // responses cut off.
 func TestAnOldMarkDoesNotBringALeavingUpstreamBack(t *testing.T) {
 	s := NewStore(func(wire.UpstreamMark) {})
-	s.Read(upstreamList(7, platform.HostLeaving))
+	s.ApplyHostList(upstreamList(7, platform.HostLeaving))
 	s.MergeMarks("r2", []wire.UpstreamMark{{Upstream: "e1", Generation: 6}})
 	if !s.Leaving("e1") {
 		t.Fatal("an older mark replaced a newer one")
 	}
-	s.Read(upstreamList(8, platform.HostLive))
+	s.ApplyHostList(upstreamList(8, platform.HostLive))
 	if s.Leaving("e1") {
 		t.Fatal("the mark of the newer list was ignored")
 	}
