--- a/pkg/catalog/basis.go
+++ b/pkg/catalog/basis.go
@@ -24,8 +24,8 @@
 	return Basis{Revision: c.revision, Age: now.Sub(c.currentAt), Held: c.held.ids[id]}
 }
 
-// Holds returns how often an instance was held although it was missing from the list.
-func (c *Catalog) Holds() int64 {
+// HeldTotal returns how often an instance was held although it was missing from the list.
+func (c *Catalog) HeldTotal() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.heldCount
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -33,9 +33,9 @@
 	held heldInstances
 	// contact is when this router or another one was in contact with the store.
 	contact Contact
-	// onInstances receives each new list, see Follow.
+	// onInstances receives each new list, see OnInstances.
 	onInstances func(set *upstream.Set, known time.Time)
-	// onRestored receives zones that are no longer evacuated, see FollowRestored.
+	// onRestored receives zones that are no longer evacuated, see OnZonesRestored.
 	onRestored func(zones []string, at time.Time)
 	// restorations are the recent ones, at most one for each zone.
 	restorations []Restoration
@@ -51,10 +51,10 @@
 	return c
 }
 
-// Follow makes f receive each new list of instances immediately, with the time at which the
+// OnInstances makes f receive each new list of instances immediately, with the time at which the
 // previous list was last known to be current. It must be called before the first list arrives; f
 // must not call the catalog.
-func (c *Catalog) Follow(f func(set *upstream.Set, known time.Time)) { c.onInstances = f }
+func (c *Catalog) OnInstances(f func(set *upstream.Set, known time.Time)) { c.onInstances = f }
 
 // setInstances publishes a new list.
 func (c *Catalog) setInstances(set *upstream.Set, known time.Time) {
@@ -110,8 +110,8 @@
 	return set, c.revision, c.listSince
 }
 
-// Same reports whether the list is unchanged since revision rev.
-func (c *Catalog) Same(rev Revision) bool {
+// UnchangedSince reports whether the list is unchanged since revision rev.
+func (c *Catalog) UnchangedSince(rev Revision) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return rev > 0 && rev >= c.listSince && rev <= c.revision
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -72,7 +72,7 @@
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 			rev := c.InstancesRevision() + 1
-			require.True(t, c.Same(rev-1))
+			require.True(t, c.UnchangedSince(rev-1))
 			c.Confirm(rev, time.Now())
 		}
 		s.mu.Lock()
@@ -83,7 +83,7 @@
 		time.Sleep(followerMaxAge + 500*time.Millisecond)
 		require.Nil(t, c.Instances().Get("a"))
 		require.EqualValues(t, 2, c.Version(), "peers no longer announce it")
-		require.False(t, c.Same(25), "the list has changed since")
+		require.False(t, c.UnchangedSince(25), "the list has changed since")
 	})
 }
 
--- a/pkg/catalog/consistency_test.go
+++ b/pkg/catalog/consistency_test.go
@@ -107,12 +107,12 @@
 
 // catchUp updates c with what peer knows.
 func (h *history) catchUp(c, peer *Catalog) {
-	c.Vouch(peer.Contact())
+	c.MergeContact(peer.Contact())
 	rev := c.InstancesRevision()
 	given, at, _ := peer.List()
 	switch {
 	case at <= rev:
-	case peer.Same(rev):
+	case peer.UnchangedSince(rev):
 		c.Confirm(at, time.Now())
 	default:
 		c.Replace(given.List(), at, time.Now(), "peer")
--- a/pkg/catalog/departures_test.go
+++ b/pkg/catalog/departures_test.go
@@ -114,7 +114,7 @@
 			c.Replace(all, 1, time.Now(), "store")
 			began := time.Now()
 			time.Sleep(8 * time.Second)
-			mergeContact := func() { c.Vouch(Contact{Since: began.Add(-time.Minute), Until: time.Now()}) }
+			mergeContact := func() { c.MergeContact(Contact{Since: began.Add(-time.Minute), Until: time.Now()}) }
 			if first {
 				mergeContact()
 			}
@@ -138,9 +138,9 @@
 		c.Replace(all, 1, time.Now(), "store")
 		began := time.Now()
 		time.Sleep(8 * time.Second)
-		c.Vouch(Contact{Since: began.Add(-time.Minute), Until: began.Add(2 * time.Second)})
+		c.MergeContact(Contact{Since: began.Add(-time.Minute), Until: began.Add(2 * time.Second)})
 		back := time.Now().Add(-time.Second)
-		c.Vouch(Contact{Since: back, Until: time.Now()})
+		c.MergeContact(Contact{Since: back, Until: time.Now()})
 		c.Replace(all[2:], 9, time.Now(), "store")
 		require.Len(t, c.Instances().ByService("s"), 3, "they may have expired")
 		keepContact(time.Until(back.Add(gracePeriod)), c)
--- a/pkg/catalog/entrylog_test.go
+++ b/pkg/catalog/entrylog_test.go
@@ -68,7 +68,7 @@
 		c := New(l)
 		var set *upstream.Set
 		var known time.Time
-		c.Follow(func(s *upstream.Set, at time.Time) { set, known = s, at })
+		c.OnInstances(func(s *upstream.Set, at time.Time) { set, known = s, at })
 		c.Replace([]upstream.Instance{{ID: "a", Born: 2}}, 1, time.Now(), "store")
 		require.True(t, known.IsZero())
 		time.Sleep(time.Second)
--- a/pkg/catalog/evacuations.go
+++ b/pkg/catalog/evacuations.go
@@ -35,9 +35,9 @@
 	return Evacuations{}
 }
 
-// Evacuate sets all evacuated zones as of a revision. A revision that is not newer than the known
+// ReplaceEvacuations sets all evacuated zones as of a revision. A revision that is not newer than the known
 // one is ignored.
-func (c *Catalog) Evacuate(zones []string, rev Revision, source string) {
+func (c *Catalog) ReplaceEvacuations(zones []string, rev Revision, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if rev <= c.Evacuations().Revision {
@@ -46,9 +46,9 @@
 	c.setEvacuations(zones, rev, source)
 }
 
-// ChangeZones applies the changes between the revisions after and rev. Changes that do not continue
+// ApplyZoneChanges applies the changes between the revisions after and rev. Changes that do not continue
 // the known state are ignored.
-func (c *Catalog) ChangeZones(changes []ZoneChange, after, rev Revision, source string) {
+func (c *Catalog) ApplyZoneChanges(changes []ZoneChange, after, rev Revision, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.Evacuations()
--- a/pkg/catalog/evacuations_test.go
+++ b/pkg/catalog/evacuations_test.go
@@ -57,15 +57,15 @@
 		l, _ := newTestLogger()
 		c := New(l)
 		var restored []string
-		c.FollowRestored(func(zones []string, _ time.Time) { restored = append(restored, zones...) })
+		c.OnZonesRestored(func(zones []string, _ time.Time) { restored = append(restored, zones...) })
 		newest := 0
 		for range rapid.IntRange(1, 40).Draw(t, "news") {
 			rev := rapid.IntRange(1, len(history)-1).Draw(t, "rev")
 			if rapid.Bool().Draw(t, "whole") {
-				c.Evacuate(history[rev], Revision(rev), "peer")
+				c.ReplaceEvacuations(history[rev], Revision(rev), "peer")
 				newest = max(newest, rev)
 			} else if after := rapid.IntRange(0, rev-1).Draw(t, "after"); newest > 0 {
-				c.ChangeZones(steps[after+1:rev+1], Revision(after), Revision(rev), "store")
+				c.ApplyZoneChanges(steps[after+1:rev+1], Revision(after), Revision(rev), "store")
 				if after <= newest {
 					newest = max(newest, rev)
 				}
--- a/pkg/catalog/fake_test.go
+++ b/pkg/catalog/fake_test.go
@@ -102,13 +102,13 @@
 
 func (s *fakeStore) ReadsConfig() bool { return s.readsConfig || s.ReadsInstances() }
 
-func (s *fakeStore) Turn() time.Duration { return 0 }
+func (s *fakeStore) FallbackDelay() time.Duration { return 0 }
 
-func (s *fakeStore) HearsFirst(waited time.Duration) bool { return waited < s.peerWait }
+func (s *fakeStore) WaitsForPeers(waited time.Duration) bool { return waited < s.peerWait }
 
-func (s *fakeStore) Callers() int { return max(1, s.storeCallers) }
+func (s *fakeStore) StoreClients() int { return max(1, s.storeCallers) }
 
-func (s *fakeStore) TellsMany() bool {
+func (s *fakeStore) HasManyFollowers() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.manyFollowers
@@ -272,7 +272,7 @@
 	const pause = 500 * time.Millisecond
 	for end := time.Now().Add(lasts); ; time.Sleep(pause) {
 		for _, c := range routers {
-			c.Vouch(Contact{Since: time.Now(), Until: time.Now()})
+			c.MergeContact(Contact{Since: time.Now(), Until: time.Now()})
 		}
 		if !time.Now().Before(end) {
 			return
--- a/pkg/catalog/grace.go
+++ b/pkg/catalog/grace.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Vouch merges a contact with the store, of this router or another one.
-func (c *Catalog) Vouch(o Contact) {
+// MergeContact merges a contact with the store, of this router or another one.
+func (c *Catalog) MergeContact(o Contact) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mergeContact(o)
--- a/pkg/catalog/outdated.go
+++ b/pkg/catalog/outdated.go
@@ -1,7 +1,7 @@
 package catalog
 
-// HearOf records that other routers use a version of the configuration.
-func (c *Catalog) HearOf(version int64) {
+// NotePeerVersion records that other routers use a version of the configuration.
+func (c *Catalog) NotePeerVersion(version int64) {
 	for {
 		known := c.peerVersion.Load()
 		if version <= known || c.peerVersion.CompareAndSwap(known, version) {
--- a/pkg/catalog/restorations.go
+++ b/pkg/catalog/restorations.go
@@ -19,9 +19,9 @@
 	Revision Revision
 }
 
-// FollowRestored makes f receive zones that are no longer evacuated as soon as that is known, and
+// OnZonesRestored makes f receive zones that are no longer evacuated as soon as that is known, and
 // since when. It must be called before the first declaration arrives; f must not call the catalog.
-func (c *Catalog) FollowRestored(f func(zones []string, at time.Time)) { c.onRestored = f }
+func (c *Catalog) OnZonesRestored(f func(zones []string, at time.Time)) { c.onRestored = f }
 
 // Restorations returns the restorations of the last minute.
 func (c *Catalog) Restorations(now time.Time) []Restoration {
@@ -31,12 +31,12 @@
 	return slices.Clone(c.restorations)
 }
 
-// HearRestored merges restorations that other routers know of. Known ones, and older ones of the
+// MergeRestorations merges restorations that other routers know of. Known ones, and older ones of the
 // same zone, are ignored.
 //
 // A router that starts just after a zone was restored never learns that the zone was evacuated. The
 // zone's upstreams may still be listed as warm.
-func (c *Catalog) HearRestored(list []Restoration, source string) {
+func (c *Catalog) MergeRestorations(list []Restoration, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range list {
--- a/pkg/catalog/restorations_test.go
+++ b/pkg/catalog/restorations_test.go
@@ -31,18 +31,18 @@
 		l, h := newTestLogger()
 		c := New(l)
 		taken := make(map[string][]time.Time)
-		c.FollowRestored(func(zones []string, at time.Time) {
+		c.OnZonesRestored(func(zones []string, at time.Time) {
 			for _, zone := range zones {
 				taken[zone] = append(taken[zone], at)
 			}
 		})
-		c.Evacuate([]string{"a"}, 5, "store")
-		c.Evacuate(nil, 6, "store")
+		c.ReplaceEvacuations([]string{"a"}, 5, "store")
+		c.ReplaceEvacuations(nil, 6, "store")
 		began := time.Now()
 		require.Equal(t, []Restoration{{Zone: "a", At: began, Revision: 6}}, c.Restorations(began))
 		time.Sleep(time.Second)
 		for range 2 {
-			c.HearRestored([]Restoration{
+			c.MergeRestorations([]Restoration{
 				{Zone: "a", Revision: 6, At: began},
 				{Zone: "b", Revision: 4, At: began.Add(-time.Second)},
 				{Zone: "long ago", Revision: 1, At: began.Add(-restorationRetention)},
@@ -52,7 +52,7 @@
 		require.Equal(t, map[string][]time.Time{"a": {began}, "b": {began.Add(-time.Second)}, "to come": {began.Add(time.Second)}}, taken)
 		require.Equal(t, 2, h.count("zone_restored"))
 
-		c.HearRestored([]Restoration{{Zone: "b", Revision: 12, At: time.Now()}}, "peer")
+		c.MergeRestorations([]Restoration{{Zone: "b", Revision: 12, At: time.Now()}}, "peer")
 		require.Len(t, taken["b"], 2, "restored again")
 		time.Sleep(restorationRetention)
 		require.Empty(t, c.Restorations(time.Now()))
--- a/pkg/catalog/sim_test.go
+++ b/pkg/catalog/sim_test.go
@@ -160,13 +160,13 @@
 // receiveReport handles a report of another router, and fetches its list if that is newer.
 func (r *simRouter) receiveReport(from *simRouter) {
 	c, peer := r.catalog, from.catalog
-	c.Vouch(peer.Contact())
+	c.MergeContact(peer.Contact())
 	asOf := time.Now().Add(-peer.InstancesAge(time.Now()))
 	given, at, _ := peer.List()
 	rev := c.InstancesRevision()
 	switch {
 	case at < rev || at == 0:
-	case at == rev || peer.Same(rev):
+	case at == rev || peer.UnchangedSince(rev):
 		c.Confirm(at, asOf)
 	default:
 		c.Replace(given.List(), at, asOf, "peer")
@@ -231,9 +231,9 @@
 }
 
 // The first three routers read for all, as in a small fleet.
-func (r *simRouter) ReadsInstances() bool          { return r.rank < 3 }
-func (r *simRouter) ReadsConfig() bool             { return true }
-func (r *simRouter) TellsMany() bool               { return false }
-func (r *simRouter) Turn() time.Duration           { return 0 }
-func (r *simRouter) HearsFirst(time.Duration) bool { return false }
-func (r *simRouter) Callers() int                  { return simRouters }
+func (r *simRouter) ReadsInstances() bool             { return r.rank < 3 }
+func (r *simRouter) ReadsConfig() bool                { return true }
+func (r *simRouter) HasManyFollowers() bool           { return false }
+func (r *simRouter) FallbackDelay() time.Duration     { return 0 }
+func (r *simRouter) WaitsForPeers(time.Duration) bool { return false }
+func (r *simRouter) StoreClients() int                { return simRouters }
--- a/pkg/catalog/watch.go
+++ b/pkg/catalog/watch.go
@@ -34,7 +34,7 @@
 	// store.
 	manyFollowersWait = 250 * time.Millisecond
 	// followerMaxAge is the age of the list at which a router that leaves the reading to others
-	// reads the store itself. Role.Turn is added to it.
+	// reads the store itself. Role.FallbackDelay is added to it.
 	followerMaxAge = 1400 * time.Millisecond
 	// minPause is the shortest pause between two requests while a grace period ends.
 	minPause = 20 * time.Millisecond
@@ -54,7 +54,7 @@
 type Watcher struct {
 	catalog *Catalog
 	store   Store
-	role    Duties
+	role    Role
 	log     log.Interface
 	// clock dates responses to requests for instances.
 	clock storeClock
@@ -66,27 +66,27 @@
 	configCall atomic.Pointer[patience.Call]
 }
 
-// Duties say what a router reads from the store for the whole fleet; it receives the rest from
+// Role says what a router reads from the store for the whole fleet; it receives the rest from
 // other routers.
-type Duties interface {
+type Role interface {
 	// ReadsInstances reports whether the router reads the instance list, ReadsConfig whether it
 	// waits for newer configurations.
 	ReadsInstances() bool
 	ReadsConfig() bool
-	// TellsMany reports whether many other routers rely on what this one reads.
-	TellsMany() bool
-	// Turn returns how much later than the first routers this one reads the store when no peer
+	// HasManyFollowers reports whether many other routers rely on what this one reads.
+	HasManyFollowers() bool
+	// FallbackDelay returns how much later than the first routers this one reads the store when no peer
 	// sends updates.
-	Turn() time.Duration
-	// HearsFirst reports whether a router that started waited ago still waits for its peers' state
+	FallbackDelay() time.Duration
+	// WaitsForPeers reports whether a router that started waited ago still waits for its peers' state
 	// instead of reading the store.
-	HearsFirst(waited time.Duration) bool
-	// Callers returns the number of routers that call the store, this one included.
-	Callers() int
+	WaitsForPeers(waited time.Duration) bool
+	// StoreClients returns the number of routers that call the store, this one included.
+	StoreClients() int
 }
 
 // NewWatcher returns a watcher that updates catalog c from s.
-func NewWatcher(c *Catalog, s Store, d Duties, l log.Interface) *Watcher {
+func NewWatcher(c *Catalog, s Store, d Role, l log.Interface) *Watcher {
 	return &Watcher{catalog: c, store: s, role: d, log: l}
 }
 
@@ -122,7 +122,7 @@
 // store to them.
 func (w *Watcher) waitForPeers(ctx context.Context, known func() bool) {
 	began := time.Now()
-	for !known() && w.role.HearsFirst(time.Since(began)) {
+	for !known() && w.role.WaitsForPeers(time.Since(began)) {
 		if !waiting.For(ctx, peerCheckPause) {
 			return
 		}
@@ -134,12 +134,12 @@
 // fewer routers share the store than before, as a router that is cut off from the others receives
 // nothing from them.
 func (w *Watcher) pauseAfterFailure(ctx context.Context, failures *backoff.Backoff, told func() bool) {
-	pause, began := failures.Failed(w.role.Callers()), time.Now()
+	pause, began := failures.Failed(w.role.StoreClients()), time.Now()
 	for {
 		if w.role.ReadsInstances() {
 			pause = backoff.InitialPause
 		}
-		left := min(pause, backoff.MaxPause(w.role.Callers())) - time.Since(began)
+		left := min(pause, backoff.MaxPause(w.role.StoreClients())) - time.Since(began)
 		if left <= 0 || told() || !waiting.For(ctx, min(left, staleCheckPause)) {
 			return
 		}
@@ -188,7 +188,7 @@
 // it. When a grace period ends, the store is read again.
 func (w *Watcher) requestTiming() (wait, pause time.Duration) {
 	wait, pause = instancesWait, instancesPause
-	if w.role.TellsMany() {
+	if w.role.HasManyFollowers() {
 		wait = manyFollowersWait
 	}
 	if end, open := w.catalog.GraceEnd(); open {
@@ -246,7 +246,7 @@
 // missing.
 func (w *Watcher) graceOverdue(now time.Time) bool {
 	end, open := w.catalog.GraceEnd()
-	return open && now.Sub(end) > staleCheckPause+w.role.Turn()
+	return open && now.Sub(end) > staleCheckPause+w.role.FallbackDelay()
 }
 
 // listCurrent reports whether the instance list is known to be listCurrent.
@@ -255,7 +255,7 @@
 }
 
 // maxListAge is the age at which the list is no longer current.
-func (w *Watcher) maxListAge() time.Duration { return followerMaxAge + w.role.Turn() }
+func (w *Watcher) maxListAge() time.Duration { return followerMaxAge + w.role.FallbackDelay() }
 
 func (w *Watcher) nextInstances(ctx context.Context, after Revision) (Revision, error) {
 	if after == 0 {
--- a/pkg/catalog/watchconfig.go
+++ b/pkg/catalog/watchconfig.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			return 0, errors.Trace(err)
 		}
-		w.catalog.Evacuate(evacuatedZones(declared.Zones), rev, "store")
+		w.catalog.ReplaceEvacuations(evacuatedZones(declared.Zones), rev, "store")
 		w.adopt(declared)
 		return w.watchStart(rev), nil
 	}
@@ -34,8 +34,8 @@
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	w.catalog.ChangeZones(declared.Zones, after, rev, "store")
-	w.catalog.HearRestored(restorations(declared.Zones, rev, time.Now()), "store")
+	w.catalog.ApplyZoneChanges(declared.Zones, after, rev, "store")
+	w.catalog.MergeRestorations(restorations(declared.Zones, rev, time.Now()), "store")
 	w.adopt(declared)
 	return rev, nil
 }
--- a/pkg/gateway/cold_test.go
+++ b/pkg/gateway/cold_test.go
@@ -33,7 +33,7 @@
 	}
 	require.Equal(t, []int{0, 30}, served)
 
-	env.catalog.Evacuate([]string{"far"}, 1, "test")
+	env.catalog.ReplaceEvacuations([]string{"far"}, 1, "test")
 	status, _, head := env.get("/safe/", "X-Key", "k")
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.NotEmpty(t, head.Get("Retry-After"))
--- a/pkg/gateway/env_test.go
+++ b/pkg/gateway/env_test.go
@@ -118,7 +118,7 @@
 	logger := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	roster := warmup.Roster{Self: "r", Routers: []string{"r"}, Known: 1}
 	env.warmup = warmup.NewGate(func(time.Time) warmup.Roster { return roster }, func(time.Time) bool { return true }, logger)
-	env.catalog.Follow(func(set *upstream.Set, _ time.Time) { env.warmup.Follow(set, time.Now()) })
+	env.catalog.OnInstances(func(set *upstream.Set, _ time.Time) { env.warmup.Follow(set, time.Now()) })
 	return env.warmup
 }
 
--- a/pkg/gateway/evacuated_test.go
+++ b/pkg/gateway/evacuated_test.go
@@ -20,17 +20,17 @@
 	require.Equal(t, http.StatusOK, env.status())
 	require.Equal(t, []int{1, 0}, served, "the upstream in the router's zone is preferred")
 
-	env.catalog.Evacuate([]string{nearZone}, 5, "test")
+	env.catalog.ReplaceEvacuations([]string{nearZone}, 5, "test")
 	for range 5 {
 		require.Equal(t, http.StatusOK, env.status())
 	}
 	require.Equal(t, []int{1, 5}, served)
 
-	env.catalog.Evacuate([]string{nearZone, "far"}, 6, "test")
+	env.catalog.ReplaceEvacuations([]string{nearZone, "far"}, 6, "test")
 	require.Equal(t, http.StatusServiceUnavailable, env.status())
 	require.Equal(t, []int{1, 5}, served)
 
-	env.catalog.Evacuate(nil, 7, "test")
+	env.catalog.ReplaceEvacuations(nil, 7, "test")
 	require.Equal(t, http.StatusOK, env.status())
 	require.Equal(t, []int{2, 5}, served)
 }
@@ -41,7 +41,7 @@
 	env.startUpstreams(func(http.ResponseWriter, *http.Request) {})
 	in := env.catalog.Instances().Get("i0")
 	require.True(t, env.catalog.StillPlaceable(in))
-	env.catalog.Evacuate([]string{in.Zone}, 5, "test")
+	env.catalog.ReplaceEvacuations([]string{in.Zone}, 5, "test")
 	require.False(t, env.catalog.StillPlaceable(in))
 }
 
--- a/pkg/gateway/outdated_test.go
+++ b/pkg/gateway/outdated_test.go
@@ -11,7 +11,7 @@
 func TestAnOutdatedRouterDeniesNothing(t *testing.T) {
 	env := newTestEnv(t)
 	env.startUpstreams(func(http.ResponseWriter, *http.Request) {})
-	env.catalog.HearOf(2)
+	env.catalog.NotePeerVersion(2)
 	for path, key := range map[string]string{"/added/": "k", "/safe/": "added"} {
 		status, _, header := env.get(path, "X-Key", key)
 		require.Equal(t, http.StatusServiceUnavailable, status, path)
--- a/pkg/gatewayd/catchup.go
+++ b/pkg/gatewayd/catchup.go
@@ -34,7 +34,7 @@
 	set, rev, since := ls.catalog.List()
 	switch {
 	case int64(rev) <= request.Instances:
-	case ls.catalog.Same(catalog.Revision(request.Instances)):
+	case ls.catalog.UnchangedSince(catalog.Revision(request.Instances)):
 		update.Revision, update.Same = int64(rev), true
 	default:
 		update.Revision = int64(rev)
--- a/pkg/gatewayd/localstate.go
+++ b/pkg/gatewayd/localstate.go
@@ -167,16 +167,16 @@
 // MergeEvacuated takes the evacuated and the restored zones that another router knows of.
 func (ls *localState) MergeEvacuated(peer fleet.Member, zones []string, revision int64, restored []fleet.RestoredZone) {
 	if len(zones) <= maxZones {
-		ls.catalog.Evacuate(zones, catalog.Revision(revision), "peer "+peer.Name)
+		ls.catalog.ReplaceEvacuations(zones, catalog.Revision(revision), "peer "+peer.Name)
 	}
 	if 0 < len(restored) && len(restored) <= maxZones {
-		ls.catalog.HearRestored(decodeRestorations(restored, time.Now()), "peer "+peer.Name)
+		ls.catalog.MergeRestorations(decodeRestorations(restored, time.Now()), "peer "+peer.Name)
 	}
 }
 
 // StoreContacted takes when another router heard the operators' store.
 func (ls *localState) StoreContacted(since, until time.Time) {
-	ls.catalog.Vouch(catalog.Contact{Since: since, Until: until})
+	ls.catalog.MergeContact(catalog.Contact{Since: since, Until: until})
 }
 
 // PeerVersions notes a peer that knows more. The channel holds one: while a peer is asked,
@@ -185,7 +185,7 @@
 // A peer with the same list says how old it is. Without that a list that doesn't change
 // would seem old everywhere but at the routers that read it, and all would ask the store.
 func (ls *localState) PeerVersions(r *fleet.Report, asOf time.Time) {
-	ls.catalog.HearOf(r.Config)
+	ls.catalog.NotePeerVersion(r.Config)
 	if own := int64(ls.catalog.InstancesRevision()); r.Instances == own || r.Instances > own && own >= r.ListSince && r.ListSince > 0 {
 		ls.catalog.Confirm(catalog.Revision(r.Instances), asOf)
 	}
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -120,14 +120,14 @@
 	p.storeCalls = storeCalls{counts: d.StoreCalls, scope: p.metrics.Scope, log: l}
 	p.shareUsage = shareUsage{shares: shares, capacity: p.capacity, log: l}
 	p.rowFaults = newRowFaults(p.catalog, d.RowFaults, l, p.metrics.Scope)
-	p.held = heldUpstreams{count: p.catalog.Holds, counter: p.metrics.Scope.Counter("upstreams_held")}
+	p.held = heldUpstreams{count: p.catalog.HeldTotal, counter: p.metrics.Scope.Counter("upstreams_held")}
 	p.warmup = warmup.NewGate(p.roster, p.listCurrent, l)
 	p.updateWarmup(s)
-	p.catalog.Follow(func(set *upstream.Set, known time.Time) {
+	p.catalog.OnInstances(func(set *upstream.Set, known time.Time) {
 		p.pools.Follow(set, known)
 		p.warmup.Follow(set, time.Now())
 	})
-	p.catalog.FollowRestored(p.warmup.Restore)
+	p.catalog.OnZonesRestored(p.warmup.Restore)
 	p.joiner = fleet.NewJoiner(p.exchange, d.Registry, s.Entries.Known, s.Router.FirstStart, l)
 	p.watcher = catalog.NewWatcher(p.catalog, d.Store, storeDuties{ranking: p.fleet, joined: p.joiner.Settled}, l)
 	p.gateway = gateway.New(gatewaySettings(s), gateway.Dependencies{
--- a/pkg/gatewayd/restorations_test.go
+++ b/pkg/gatewayd/restorations_test.go
@@ -18,11 +18,11 @@
 func TestRestorationIsReportedToRoutersThatStartAfterIt(t *testing.T) {
 	l := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	older, newer := catalog.New(l), catalog.New(l)
-	older.Evacuate([]string{"a"}, 5, "store")
-	older.Evacuate(nil, 6, "store")
-	newer.Evacuate(nil, 6, "store")
+	older.ReplaceEvacuations([]string{"a"}, 5, "store")
+	older.ReplaceEvacuations(nil, 6, "store")
+	newer.ReplaceEvacuations(nil, 6, "store")
 	var at time.Time
-	newer.FollowRestored(func(zones []string, restored time.Time) {
+	newer.OnZonesRestored(func(zones []string, restored time.Time) {
 		require.Equal(t, []string{"a"}, zones)
 		at = restored
 	})
--- a/pkg/gatewayd/storeduties.go
+++ b/pkg/gatewayd/storeduties.go
@@ -36,7 +36,7 @@
 	Rank() int
 }
 
-// storeDuties implements catalog.Duties.
+// storeDuties implements catalog.Role.
 type storeDuties struct {
 	ranking ranking
 	// joined reports whether the router has found its place, as far as the store answers.
@@ -52,11 +52,11 @@
 	return d.ranking.Rank() < storeReaders
 }
 
-// TellsMany reports whether many others go by what this router reads.
-func (d storeDuties) TellsMany() bool { return d.large() && d.ReadsInstances() }
+// HasManyFollowers reports whether many others go by what this router reads.
+func (d storeDuties) HasManyFollowers() bool { return d.large() && d.ReadsInstances() }
 
-// Turn is how long after the first ones this router asks the store when nobody tells it.
-func (d storeDuties) Turn() time.Duration {
+// FallbackDelay is how long after the first ones this router asks the store when nobody tells it.
+func (d storeDuties) FallbackDelay() time.Duration {
 	if !d.large() {
 		return 0
 	}
@@ -67,16 +67,16 @@
 	return turn
 }
 
-// HearsFirst reports whether a router that started waited ago leaves the store to others yet.
-func (d storeDuties) HearsFirst(waited time.Duration) bool {
+// WaitsForPeers reports whether a router that started waited ago leaves the store to others yet.
+func (d storeDuties) WaitsForPeers(waited time.Duration) bool {
 	if !d.joined() {
 		return waited < joinTimeout
 	}
 	return d.large() && d.ranking.Rank() >= earlyRouters && waited < startupWait
 }
 
-// Callers is how many routers ask the store when it fails.
-func (d storeDuties) Callers() int { return d.ranking.Count() }
+// StoreClients is how many routers ask the store when it fails.
+func (d storeDuties) StoreClients() int { return d.ranking.Count() }
 
 // ReadsConfig reports whether this router waits for configurations.
 func (d storeDuties) ReadsConfig() bool { return !d.large() || d.ranking.Rank() < storeReaders }
--- a/pkg/gatewayd/storeduties_test.go
+++ b/pkg/gatewayd/storeduties_test.go
@@ -35,10 +35,10 @@
 // All routers that ask the store at once when nobody tells them would be most of what it is
 // asked in an outage.
 func TestRoutersAskTheStoreInTurn(t *testing.T) {
-	require.Zero(t, storeDuties{ranking: fakeRanking{count: 8, rank: 7}}.Turn())
+	require.Zero(t, storeDuties{ranking: fakeRanking{count: 8, rank: 7}}.FallbackDelay())
 	before := time.Duration(-1)
 	for rank := range 295 {
-		turn := storeDuties{ranking: fakeRanking{count: 295, rank: rank}}.Turn()
+		turn := storeDuties{ranking: fakeRanking{count: 295, rank: rank}}.FallbackDelay()
 		require.Greater(t, turn, before)
 		before = turn
 	}
@@ -47,10 +47,10 @@
 // A router that starts in a large fleet asks the store though others would tell it.
 func TestRoutersOfALargeFleetWaitForPeersAtStart(t *testing.T) {
 	joined, joining := func() bool { return true }, func() bool { return false }
-	require.True(t, storeDuties{ranking: fakeRanking{count: 1}, joined: joining}.HearsFirst(joinTimeout/2))
-	require.False(t, storeDuties{ranking: fakeRanking{count: 1}, joined: joining}.HearsFirst(joinTimeout))
-	require.False(t, storeDuties{ranking: fakeRanking{count: 8, rank: 7}, joined: joined}.HearsFirst(0))
-	require.False(t, storeDuties{ranking: fakeRanking{count: 295, rank: 3}, joined: joined}.HearsFirst(0))
-	require.True(t, storeDuties{ranking: fakeRanking{count: 295, rank: 100}, joined: joined}.HearsFirst(startupWait/2))
-	require.False(t, storeDuties{ranking: fakeRanking{count: 295, rank: 100}, joined: joined}.HearsFirst(startupWait))
+	require.True(t, storeDuties{ranking: fakeRanking{count: 1}, joined: joining}.WaitsForPeers(joinTimeout/2))
+	require.False(t, storeDuties{ranking: fakeRanking{count: 1}, joined: joining}.WaitsForPeers(joinTimeout))
+	require.False(t, storeDuties{ranking: fakeRanking{count: 8, rank: 7}, joined: joined}.WaitsForPeers(0))
+	require.False(t, storeDuties{ranking: fakeRanking{count: 295, rank: 3}, joined: joined}.WaitsForPeers(0))
+	require.True(t, storeDuties{ranking: fakeRanking{count: 295, rank: 100}, joined: joined}.WaitsForPeers(startupWait/2))
+	require.False(t, storeDuties{ranking: fakeRanking{count: 295, rank: 100}, joined: joined}.WaitsForPeers(startupWait))
 }
