--- a/pkg/gatewayd/localstate.go
+++ b/pkg/gatewayd/localstate.go
@@ -168,16 +168,16 @@
 // MergeEvacuated merges the evacuated and the restored zones that another router reports.
 func (ls *localState) MergeEvacuated(peer fleet.Member, zones []string, revision int64, restored []fleet.RestoredZone) {
 	if len(zones) <= maxZones {
-		ls.catalog.Evacuate(zones, catalog.Revision(revision), "peer "+peer.Name)
+		ls.catalog.ReplaceEvacuations(zones, catalog.Revision(revision), "peer "+peer.Name)
 	}
 	if 0 < len(restored) && len(restored) <= maxZones {
-		ls.catalog.HearRestored(decodeRestorations(restored, time.Now()), "peer "+peer.Name)
+		ls.catalog.MergeRestorations(decodeRestorations(restored, time.Now()), "peer "+peer.Name)
 	}
 }
 
 // StoreContacted records when another router was in contact with the operators' store.
 func (ls *localState) StoreContacted(since, until time.Time) {
-	ls.catalog.Vouch(catalog.Contact{Since: since, Until: until})
+	ls.catalog.MergeContact(catalog.Contact{Since: since, Until: until})
 }
 
 // PeerVersions queues a peer that has a newer configuration or list. The channel holds one: during
@@ -186,7 +186,7 @@
 // A peer with the same list confirms when it was current. Otherwise an unchanged list would look
 // stale to all routers except those that read the store, and all of them would query it.
 func (ls *localState) PeerVersions(r *fleet.Report, asOf time.Time) {
-	ls.catalog.HearOf(r.Config)
+	ls.catalog.NotePeerVersion(r.Config)
 	if own := int64(ls.catalog.InstancesRevision()); r.Instances == own || r.Instances > own && own >= r.ListSince && r.ListSince > 0 {
 		ls.catalog.Confirm(catalog.Revision(r.Instances), asOf)
 	}
