--- a/pkg/forward/events.go
+++ b/pkg/forward/events.go
@@ -65,9 +65,9 @@
 // its connection ended.
 func (e *Events) End() ([]byte, error) {
 	switch {
-	case e.scanner.Inside(e.pending):
+	case e.scanner.InsideEvent(e.pending):
 		return nil, errors.Annotatef(ErrInsideEvent, "%d bytes after event %d", len(e.pending), e.lastID)
-	case e.scanner.Whole(e.pending) && e.isDuplicate(e.pending):
+	case e.scanner.Complete(e.pending) && e.isDuplicate(e.pending):
 		return nil, nil
 	}
 	return e.pending, nil
--- a/pkg/sse/scanner.go
+++ b/pkg/sse/scanner.go
@@ -93,13 +93,13 @@
 	return n
 }
 
-// Whole reports whether rest, the bytes after the last chunk, is an event that lacks only the LF of
+// Complete reports whether rest, the bytes after the last chunk, is an event that lacks only the LF of
 // its last CRLF.
-func (s *Scanner) Whole(rest []byte) bool { return s.hasLine && s.endsWithBlankLine(rest) }
+func (s *Scanner) Complete(rest []byte) bool { return s.hasLine && s.endsWithBlankLine(rest) }
 
-// Inside reports whether a stream that ends with rest, the bytes after the last chunk, ends inside
+// InsideEvent reports whether a stream that ends with rest, the bytes after the last chunk, ends inside
 // an event. Complete comment lines don't count as part of one.
-func (s *Scanner) Inside(rest []byte) bool {
+func (s *Scanner) InsideEvent(rest []byte) bool {
 	return !s.endsWithBlankLine(rest) && (s.hasField || len(rest) > s.lineStart)
 }
 
--- a/pkg/sse/scanner_test.go
+++ b/pkg/sse/scanner_test.go
@@ -71,7 +71,7 @@
 	} {
 		s := new(Scanner)
 		_, rest := scanAll(s, text)
-		require.Equal(t, inside, s.Inside([]byte(rest)), "%q", text)
+		require.Equal(t, inside, s.InsideEvent([]byte(rest)), "%q", text)
 	}
 }
 
@@ -100,8 +100,8 @@
 		inParts := new(Scanner)
 		got, rest := scanAll(inParts, parts...)
 		requireSameChunks(t, text, want, got, wantRest, rest)
-		if atOnce.Inside([]byte(wantRest)) != inParts.Inside([]byte(rest)) {
-			t.Fatalf("%q: Inside depends on the split", text)
+		if atOnce.InsideEvent([]byte(wantRest)) != inParts.InsideEvent([]byte(rest)) {
+			t.Fatalf("%q: InsideEvent depends on the split", text)
 		}
 	})
 }
@@ -153,7 +153,7 @@
 		for _, e := range eventsOf(got) {
 			parsed = append(parsed, parseEvents(e)...)
 		}
-		if s.Whole([]byte(rest)) {
+		if s.Complete([]byte(rest)) {
 			parsed = append(parsed, parseEvents(rest)...)
 		}
 		if fmt.Sprintf("%q", parsed) != fmt.Sprintf("%q", parseEvents(text)) {
