--- a/pkg/claimant/refusals.go
+++ b/pkg/claimant/refusals.go
@@ -19,12 +19,12 @@
 
 func overloaded(retry time.Duration) *verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusTooManyRequests, verdict.CodeOverloaded,
-		"too many requests of this organisation wait").After(retry)
+		"too many requests of this organisation wait").WithRetryAfter(retry)
 }
 
 func deadlinePassed(retry time.Duration) *verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusGatewayTimeout, verdict.CodeDeadline,
-		"no slot became free within the deadline").After(retry)
+		"no slot became free within the deadline").WithRetryAfter(retry)
 }
 
 // contextEnded distinguishes a context's own deadline from a caller that went away.
@@ -33,12 +33,12 @@
 		return deadlinePassed(retry)
 	}
 	return verdict.Wrap(ctx.Err(), verdict.NotRun, statusClientClosed, verdict.CodeCanceled,
-		"the caller went away").After(retry)
+		"the caller went away").WithRetryAfter(retry)
 }
 
 func noUpstream(retry time.Duration) *verdict.Error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream,
-		"no usable upstream").After(retry)
+		"no usable upstream").WithRetryAfter(retry)
 }
 
 func quarantined() *verdict.Error {
@@ -48,7 +48,7 @@
 
 func draining(entries []string) *verdict.Error {
 	e := verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeDraining,
-		"this router is leaving").After(minRetry)
+		"this router is leaving").WithRetryAfter(minRetry)
 	e.Entries = entries
 	return e
 }
--- a/pkg/config/admit.go
+++ b/pkg/config/admit.go
@@ -34,7 +34,7 @@
 	if l.Current() == nil {
 		message = "this router has no configuration yet"
 	}
-	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeStale, message).After(retryStale)
+	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeStale, message).WithRetryAfter(retryStale)
 }
 
 // Basis works out on what ground the version in force may be used at now.
--- a/pkg/dispatch/attempt.go
+++ b/pkg/dispatch/attempt.go
@@ -148,12 +148,12 @@
 	switch {
 	case state == gateExpired:
 		err = errGrantExpired
-		r.Err = verdict.Wrap(err, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, errGrantExpired.Error()).After(retryAfter)
+		r.Err = verdict.Wrap(err, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, errGrantExpired.Error()).WithRetryAfter(retryAfter)
 	case errors.Is(err, errCallerGone):
 		r.Err = errorOf(err, verdict.NotRun)
 	default:
 		r.Outcome = wire.OutcomeUnreachable
-		r.Err = verdict.Wrap(err, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, "the upstream can't be reached").After(retryAfter)
+		r.Err = verdict.Wrap(err, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, "the upstream can't be reached").WithRetryAfter(retryAfter)
 	}
 	return r
 }
--- a/pkg/dispatch/plain.go
+++ b/pkg/dispatch/plain.go
@@ -51,7 +51,7 @@
 	return Result{
 		Verdict: verdict.NotRun,
 		Outcome: wire.OutcomeFailed,
-		Err:     verdict.Wrap(errRefused, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, errRefused.Error()).After(retryAfter),
+		Err:     verdict.Wrap(errRefused, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeNoUpstream, errRefused.Error()).WithRetryAfter(retryAfter),
 	}
 }
 
--- a/pkg/dispatch/reader.go
+++ b/pkg/dispatch/reader.go
@@ -70,7 +70,7 @@
 // nil if there is none.
 func (r *eventReader) finalEvent() []byte {
 	rest := r.buf[r.start:r.end]
-	if !r.scanner.Whole(rest) {
+	if !r.scanner.Complete(rest) {
 		return nil
 	}
 	r.start, r.scanner = r.end, sse.Scanner{}
@@ -106,7 +106,7 @@
 // only the LF of its last CRLF, the next byte shows whether it is longer.
 func (r *eventReader) full() bool {
 	rest := r.buf[r.start:r.end]
-	return len(rest) > r.max || len(rest) == r.max && !r.scanner.Whole(rest)
+	return len(rest) > r.max || len(rest) == r.max && !r.scanner.Complete(rest)
 }
 
 func (r *eventReader) grow() {
--- a/pkg/edge/admission.go
+++ b/pkg/edge/admission.go
@@ -58,7 +58,7 @@
 }
 
 func overloaded(message string, after time.Duration) *verdict.Error {
-	return verdict.New(verdict.NotRun, http.StatusTooManyRequests, verdict.CodeOverloaded, message).After(after)
+	return verdict.New(verdict.NotRun, http.StatusTooManyRequests, verdict.CodeOverloaded, message).WithRetryAfter(after)
 }
 
 // place is one waiting request's share of the bounds.
--- a/pkg/edge/auth_middleware.go
+++ b/pkg/edge/auth_middleware.go
@@ -59,5 +59,5 @@
 }
 
 func errNoConfig() *verdict.Error {
-	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeStale, "this router has no configuration yet").After(time.Second)
+	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeStale, "this router has no configuration yet").WithRetryAfter(time.Second)
 }
--- a/pkg/edge/body_budget.go
+++ b/pkg/edge/body_budget.go
@@ -37,7 +37,7 @@
 	defer b.mu.Unlock()
 	if b.total+n > b.max || b.orgs[org]+n > max(b.max/orgBodies, n) {
 		return nil, verdict.New(verdict.NotRun, http.StatusTooManyRequests, verdict.CodeOverloaded,
-			"too many request bodies are held for the organisation").After(time.Second)
+			"too many request bodies are held for the organisation").WithRetryAfter(time.Second)
 	}
 	b.total += n
 	b.orgs[org] += n
--- a/pkg/gateway/refusal.go
+++ b/pkg/gateway/refusal.go
@@ -82,7 +82,7 @@
 // RejectionResponse returns the whole response, header and body, for a connection that is rejected before
 // its request is read; after is its Retry-After.
 func RejectionResponse(after time.Duration) []byte {
-	e := errRouterOverloaded().After(after)
+	e := errRouterOverloaded().WithRetryAfter(after)
 	body := e.Message + "\n"
 	response := http.Response{StatusCode: e.Status, ProtoMajor: 1, ProtoMinor: 1, Header: make(http.Header), Close: true,
 		ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
--- a/pkg/once/refusals.go
+++ b/pkg/once/refusals.go
@@ -19,12 +19,12 @@
 
 func refuseBusy() error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeOverloaded,
-		"too many calls wait to be recorded").After(spread(retryTable))
+		"too many calls wait to be recorded").WithRetryAfter(spread(retryTable))
 }
 
 func refuseTableDown(cause error) error {
 	return verdict.Wrap(cause, verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeTableDown,
-		"the idempotency key can't be recorded now").After(spread(retryTable))
+		"the idempotency key can't be recorded now").WithRetryAfter(spread(retryTable))
 }
 
 func refuseCanceled(cause error) error {
@@ -33,7 +33,7 @@
 
 func refuseDraining() error {
 	return verdict.New(verdict.NotRun, http.StatusServiceUnavailable, verdict.CodeDraining,
-		"this router is leaving").After(spread(retryTable))
+		"this router is leaving").WithRetryAfter(spread(retryTable))
 }
 
 func refuseReused() error {
@@ -43,7 +43,7 @@
 
 func refusePending() error {
 	return verdict.New(verdict.MayHaveRun, http.StatusConflict, verdict.CodeDuplicate,
-		"a call with this idempotency key is under way or was cut off").After(spread(retryPending))
+		"a call with this idempotency key is under way or was cut off").WithRetryAfter(spread(retryPending))
 }
 
 func refuseUnsettled() error {
--- a/pkg/quarantine/list.go
+++ b/pkg/quarantine/list.go
@@ -58,7 +58,7 @@
 	}
 	return verdict.New(verdict.NotRun, 422, verdict.CodeQuarantined,
 		"upstreams died while they ran this request; it is refused for a time").
-		After(l.tracker.remaining(now, content))
+		WithRetryAfter(l.tracker.remaining(now, content))
 }
 
 // Merge adds suspicions from a peer and returns those that were new, to be passed on.
--- a/pkg/verdict/error.go
+++ b/pkg/verdict/error.go
@@ -67,8 +67,8 @@
 // Unwrap returns the cause, or nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
