--- a/pkg/daemon/fx.go
+++ b/pkg/daemon/fx.go
@@ -129,7 +129,7 @@
 		Keeper: keeper.Options{
 			TTL:            s.Timing.GrantTTL.Std(),
 			ReportInterval: s.Timing.Report.Std(),
-			Crashes:        q.list.Deaths,
+			Crashes:        q.list.CrashCount,
 			Slice:          s.Sharing.Slice,
 			Slices:         s.Sharing.Slices,
 		},
--- a/pkg/daemon/suspects.go
+++ b/pkg/daemon/suspects.go
@@ -27,7 +27,7 @@
 // Died implements edge.Suspects. A content that was a suspect already ran alone.
 func (s *suspects) Died(_ string, contents ...uint64) {
 	for _, c := range contents {
-		if news, ok := s.list.Died(c, s.list.Deaths(c) > 0); ok {
+		if news, ok := s.list.RecordCrash(c, s.list.CrashCount(c) > 0); ok {
 			s.spread(news)
 		}
 	}
@@ -35,10 +35,10 @@
 
 // Served implements edge.Suspects.
 func (s *suspects) Served(content uint64) {
-	if s.list.Deaths(content) == 0 {
+	if s.list.CrashCount(content) == 0 {
 		return
 	}
-	if news, ok := s.list.EndedAlone(content); ok {
+	if news, ok := s.list.RecordSoloCompletion(content); ok {
 		s.spread(news)
 	}
 }
--- a/pkg/gateway/content.go
+++ b/pkg/gateway/content.go
@@ -31,7 +31,7 @@
 //
 // Guard: a request may crash every upstream that starts it, and its caller may retry it at any
 // router. Unless the routers share what they know of it, one caller can take a whole service down.
-func (g *Gateway) recordCrash(r *request) { g.quarantine.Died(r.contentHash, true) }
+func (g *Gateway) recordCrash(r *request) { g.quarantine.RecordCrash(r.contentHash, true) }
 
 // clearSuspicion records that r completed.
-func (g *Gateway) clearSuspicion(r *request) { g.quarantine.EndedAlone(r.contentHash) }
+func (g *Gateway) clearSuspicion(r *request) { g.quarantine.RecordSoloCompletion(r.contentHash) }
--- a/pkg/gatewayd/linkworld_test.go
+++ b/pkg/gatewayd/linkworld_test.go
@@ -75,7 +75,7 @@
 	quiet := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	r := &linkRouter{host: modelnet.NewHost(linkSpeed), catalog: catalog.New(quiet)}
 	r.telling = &telling{catalog: r.catalog, ledger: placement.NewLoadTracker(), holdings: placement.NewKVIndex(), shares: placement.NewShares(), inflows: placement.NewInflows(),
-		paces: pace.NewEstimator(), suspects: quarantine.New(quarantine.Config{Limit: 3, FadeAfter: time.Minute}), ready: func() bool { return true }, pressed: func() bool { return false },
+		paces: pace.NewEstimator(), suspects: quarantine.New(quarantine.Config{CrashLimit: 3, Duration: time.Minute}), ready: func() bool { return true }, pressed: func() bool { return false },
 		log: quiet, behind: make(chan newer, 1)}
 	r.fleet = fleet.New(m, r.telling, quiet)
 	r.fleet.SetSecret([]byte("secret"))
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -101,7 +101,7 @@
 	if s.Limits.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMiB<<20) * memoryShare))
 	}
-	suspects := quarantine.New(quarantine.Config{Limit: gateway.CrashLimit, FadeAfter: gateway.QuarantineDuration})
+	suspects := quarantine.New(quarantine.Config{CrashLimit: gateway.CrashLimit, Duration: gateway.QuarantineDuration})
 	ledger, shares, inflows, paces := placement.NewLoadTracker(), placement.NewShares(), placement.NewInflows(), pace.NewEstimator()
 	p := &Process{log: l, readdress: d.Readdress, metrics: telemetry.NewMetrics(), catalog: catalog.New(l), pools: forward.NewPools(d.Dialect.IDHeader()),
 		health: upstream.NewHealth(), holdings: placement.NewKVIndex()}
--- a/pkg/quarantine/config.go
+++ b/pkg/quarantine/config.go
@@ -4,10 +4,10 @@
 
 // Config holds the limits of a List. Zero fields take the defaults.
 type Config struct {
-	// Limit is the number of crashes from which on a content is refused.
-	Limit int
-	// FadeAfter is how long a suspicion holds after its last update.
-	FadeAfter time.Duration
+	// CrashLimit is the number of crashes from which on a content is refused.
+	CrashLimit int
+	// Duration is how long a suspicion holds after its last update.
+	Duration time.Duration
 	// MaxSuspects and MaxConfirmed are the maximum numbers of contents that are kept.
 	MaxSuspects  int
 	MaxConfirmed int
@@ -15,21 +15,21 @@
 
 // Defaults of Config.
 const (
-	// DefaultLimit is 2: after a first crash, any request of the batch may be the cause. The second
+	// DefaultCrashLimit is 2: after a first crash, any request of the batch may be the cause. The second
 	// crash happens to a suspect that ran alone, which leaves hardly any doubt. A third one would
 	// cost another upstream and show nothing new.
-	DefaultLimit        = 2
-	DefaultFadeAfter    = 30 * time.Minute
+	DefaultCrashLimit   = 2
+	DefaultDuration     = 30 * time.Minute
 	DefaultMaxSuspects  = 4096
 	DefaultMaxConfirmed = 1024
 )
 
 func (c Config) withDefaults() Config {
-	if c.Limit < 2 {
-		c.Limit = DefaultLimit
+	if c.CrashLimit < 2 {
+		c.CrashLimit = DefaultCrashLimit
 	}
-	if c.FadeAfter <= 0 {
-		c.FadeAfter = DefaultFadeAfter
+	if c.Duration <= 0 {
+		c.Duration = DefaultDuration
 	}
 	if c.MaxSuspects <= 0 {
 		c.MaxSuspects = DefaultMaxSuspects
--- a/pkg/quarantine/entry.go
+++ b/pkg/quarantine/entry.go
@@ -31,12 +31,12 @@
 func (e entry) crashCount(now time.Time, c Config) int {
 	age := now.Sub(e.receivedAt)
 	switch {
-	case e.suspicion.Cleared || age >= 2*c.FadeAfter:
+	case e.suspicion.Cleared || age >= 2*c.Duration:
 		return 0
-	case age < c.FadeAfter:
+	case age < c.Duration:
 		return int(e.suspicion.Deaths)
-	case int(e.suspicion.Deaths) >= c.Limit:
-		return c.Limit - 1
+	case int(e.suspicion.Deaths) >= c.CrashLimit:
+		return c.CrashLimit - 1
 	default:
 		return 0
 	}
@@ -44,4 +44,4 @@
 
 // expired reports whether the entry can be dropped. Until then it is kept although its suspicion
 // has ended: its Seq keeps peers whose suspicion ends later from bringing it back forever.
-func (e entry) expired(now time.Time, c Config) bool { return now.Sub(e.receivedAt) >= 2*c.FadeAfter }
+func (e entry) expired(now time.Time, c Config) bool { return now.Sub(e.receivedAt) >= 2*c.Duration }
--- a/pkg/quarantine/list.go
+++ b/pkg/quarantine/list.go
@@ -24,25 +24,25 @@
 // New returns an empty List.
 func New(c Config) *List { return &List{tracker: newTracker(c.withDefaults())} }
 
-// Died records that an upstream crashed while content ran on it. alone says that nothing else ran
+// RecordCrash records that an upstream crashed while content ran on it. alone says that nothing else ran
 // there. If that changes the suspicion, it is returned to be sent to the other routers.
-func (l *List) Died(content uint64, alone bool) (wire.Suspicion, bool) {
+func (l *List) RecordCrash(content uint64, alone bool) (wire.Suspicion, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.recordCrash(time.Now(), content, alone)
 }
 
-// EndedAlone records that content ran alone to its end. If that changes the suspicion, it is
+// RecordSoloCompletion records that content ran alone to its end. If that changes the suspicion, it is
 // returned to be sent to the other routers.
-func (l *List) EndedAlone(content uint64) (wire.Suspicion, bool) {
+func (l *List) RecordSoloCompletion(content uint64) (wire.Suspicion, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.recordSoloCompletion(time.Now(), content)
 }
 
-// Deaths returns the number of crashes that content is suspected of: 0 if it isn't a suspect, 1 or
+// CrashCount returns the number of crashes that content is suspected of: 0 if it isn't a suspect, 1 or
 // more if it must run alone, the limit or more if it is refused.
-func (l *List) Deaths(content uint64) int {
+func (l *List) CrashCount(content uint64) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.crashCount(time.Now(), content)
@@ -53,7 +53,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.tracker.crashCount(now, content) < l.tracker.config.Limit {
+	if l.tracker.crashCount(now, content) < l.tracker.config.CrashLimit {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, 422, verdict.CodeQuarantined,
--- a/pkg/quarantine/list_test.go
+++ b/pkg/quarantine/list_test.go
@@ -21,25 +21,25 @@
 		here, there := New(Config{}), New(Config{})
 		const harmful = 1
 		for c := uint64(1); c <= 32; c++ {
-			suspicion, ok := here.Died(c, false)
+			suspicion, ok := here.RecordCrash(c, false)
 			require.True(t, ok)
 			there.Merge([]wire.Suspicion{suspicion})
 		}
 		for c := uint64(2); c <= 32; c++ {
-			require.Equal(t, 1, there.Deaths(c))
-			suspicion, ok := there.EndedAlone(c)
+			require.Equal(t, 1, there.CrashCount(c))
+			suspicion, ok := there.RecordSoloCompletion(c)
 			require.True(t, ok)
 			here.Merge([]wire.Suspicion{suspicion})
-			require.Zero(t, here.Deaths(c))
+			require.Zero(t, here.CrashCount(c))
 		}
 		require.NoError(t, there.Check(harmful))
-		suspicion, ok := there.Died(harmful, true)
+		suspicion, ok := there.RecordCrash(harmful, true)
 		require.True(t, ok)
 		here.Merge([]wire.Suspicion{suspicion})
 		refusal := verdict.From(here.Check(harmful))
 		require.Equal(t, verdict.CodeQuarantined, refusal.Code)
 		require.Equal(t, verdict.NotRun, refusal.Verdict)
-		require.Equal(t, DefaultFadeAfter, refusal.RetryAfter)
+		require.Equal(t, DefaultDuration, refusal.RetryAfter)
 	})
 }
 
@@ -48,9 +48,9 @@
 func TestCrashesBesideOthersNeverConfirm(t *testing.T) {
 	l := New(Config{})
 	for range 20 {
-		l.Died(7, false)
+		l.RecordCrash(7, false)
 	}
-	require.Equal(t, 1, l.Deaths(7))
+	require.Equal(t, 1, l.CrashCount(7))
 	require.NoError(t, l.Check(7))
 }
 
@@ -58,10 +58,10 @@
 // not evict it, or it would be admitted again and crash further engines.
 func TestInnocentsDontDisplaceConfirmed(t *testing.T) {
 	l := New(Config{MaxSuspects: 8, MaxConfirmed: 2})
-	l.Died(1, false)
-	l.Died(1, true)
+	l.RecordCrash(1, false)
+	l.RecordCrash(1, true)
 	for c := uint64(2); c < 1000; c++ {
-		l.Died(c, false)
+		l.RecordCrash(c, false)
 	}
 	require.Error(t, l.Check(1))
 	require.LessOrEqual(t, len(l.Snapshot()), 10)
@@ -73,16 +73,16 @@
 func TestSuspicionsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(Config{})
-		l.Died(1, false)
-		old, _ := l.Died(1, true)
-		<-time.After(DefaultFadeAfter)
+		l.RecordCrash(1, false)
+		old, _ := l.RecordCrash(1, true)
+		<-time.After(DefaultDuration)
 		require.NoError(t, l.Check(1))
-		require.Equal(t, 1, l.Deaths(1))
+		require.Equal(t, 1, l.CrashCount(1))
 		require.Empty(t, l.Merge([]wire.Suspicion{old}), "an ended suspicion came back")
-		l.Died(1, true)
+		l.RecordCrash(1, true)
 		require.Error(t, l.Check(1))
-		<-time.After(2 * DefaultFadeAfter)
-		require.Zero(t, l.Deaths(1))
+		<-time.After(2 * DefaultDuration)
+		require.Zero(t, l.CrashCount(1))
 	})
 }
 
@@ -90,9 +90,9 @@
 // that has crashed two upstreams.
 func TestLateEndDoesNotClearConfirmed(t *testing.T) {
 	l := New(Config{})
-	l.Died(1, false)
-	l.Died(1, true)
-	_, ok := l.EndedAlone(1)
+	l.RecordCrash(1, false)
+	l.RecordCrash(1, true)
+	_, ok := l.RecordSoloCompletion(1)
 	require.False(t, ok)
 	require.Error(t, l.Check(1))
 }
@@ -120,7 +120,7 @@
 
 func TestUnknownContentIsNeverSuspect(t *testing.T) {
 	l := New(Config{})
-	_, ok := l.Died(0, true)
+	_, ok := l.RecordCrash(0, true)
 	require.False(t, ok)
-	require.Zero(t, l.Deaths(0))
+	require.Zero(t, l.CrashCount(0))
 }
--- a/pkg/quarantine/tracker.go
+++ b/pkg/quarantine/tracker.go
@@ -42,7 +42,7 @@
 	current := t.crashCount(now, content)
 	crashes := current + 1
 	if !alone {
-		crashes = max(current, min(crashes, t.config.Limit-1))
+		crashes = max(current, min(crashes, t.config.CrashLimit-1))
 	}
 	if crashes == current {
 		return wire.Suspicion{}, false
@@ -54,7 +54,7 @@
 // the completion is that of a run that began before the last crash.
 func (t *tracker) recordSoloCompletion(now time.Time, content uint64) (wire.Suspicion, bool) {
 	current := t.crashCount(now, content)
-	if current == 0 || current >= t.config.Limit {
+	if current == 0 || current >= t.config.CrashLimit {
 		return wire.Suspicion{}, false
 	}
 	old, _ := t.lookup(now, content)
@@ -80,7 +80,7 @@
 }
 
 func (t *tracker) lruFor(s wire.Suspicion) *simplelru.LRU[uint64, entry] {
-	if int(s.Deaths) >= t.config.Limit {
+	if int(s.Deaths) >= t.config.CrashLimit {
 		return t.confirmed
 	}
 	return t.suspects
@@ -99,7 +99,7 @@
 	if !ok {
 		return 0
 	}
-	return max(0, t.config.FadeAfter-now.Sub(e.receivedAt))
+	return max(0, t.config.Duration-now.Sub(e.receivedAt))
 }
 
 func (t *tracker) lookup(now time.Time, content uint64) (entry, bool) {
@@ -120,7 +120,7 @@
 func (t *tracker) snapshot(now time.Time) []wire.Suspicion {
 	var all []wire.Suspicion
 	for _, e := range append(t.confirmed.Values(), t.suspects.Values()...) {
-		if now.Sub(e.receivedAt) < t.config.FadeAfter {
+		if now.Sub(e.receivedAt) < t.config.Duration {
 			all = append(all, e.suspicion)
 		}
 	}
@@ -130,7 +130,7 @@
 func (t *tracker) count(now time.Time) (suspected, confirmed int) {
 	for _, e := range append(t.confirmed.Values(), t.suspects.Values()...) {
 		switch crashes := e.crashCount(now, t.config); {
-		case crashes >= t.config.Limit:
+		case crashes >= t.config.CrashLimit:
 			confirmed++
 		case crashes > 0:
 			suspected++
