--- a/pkg/forward/do.go
+++ b/pkg/forward/do.go
@@ -22,14 +22,14 @@
 
 // Do sends c and waits for the header of the response, which the caller must close. Canceling ctx
 // also ends the reading of the body.
-func (ps *Pools) Do(ctx context.Context, c *Call) (*Answer, error) {
+func (ps *Pools) Do(ctx context.Context, c *Call) (*Response, error) {
 	p := ps.poolFor(c.Instance)
 	cn, err := p.acquire(ctx, time.Now())
 	if err != nil {
 		return nil, &Error{Stage: "connect", cause: err}
 	}
 	stopAfterFunc := context.AfterFunc(ctx, func() { cn.Close() })
-	r := &Answer{ctx: ctx, pool: p, conn: cn, stopAfterFunc: stopAfterFunc, abort: c.Abort}
+	r := &Response{ctx: ctx, pool: p, conn: cn, stopAfterFunc: stopAfterFunc, abort: c.Abort}
 	if !c.Abort.attach(cn) {
 		r.Discard()
 		return nil, &Error{Stage: "connect", cause: ErrAborted}
@@ -66,7 +66,7 @@
 // Guard: an upstream may send a second or a late response to an earlier request where the response
 // to this one is expected. If that were taken for this one, a caller would get another caller's
 // data. Responses carry the ID of their request, so any other one is skipped.
-func (r *Answer) readHeader(c *Call, idHeader string) error {
+func (r *Response) readHeader(c *Call, idHeader string) error {
 	request := &http.Request{Method: c.Method}
 	for stray := 0; stray <= maxStrayResponses; stray++ {
 		resp, err := readResponse(r.conn.reader, request)
--- a/pkg/forward/do_test.go
+++ b/pkg/forward/do_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func body(t *testing.T, resp *Answer) string {
+func body(t *testing.T, resp *Response) string {
 	data, err := io.ReadAll(resp)
 	require.NoError(t, err)
 	resp.Close()
--- a/pkg/forward/events.go
+++ b/pkg/forward/events.go
@@ -12,12 +12,12 @@
 // maxEventSize is the maximum size of an incomplete event, in bytes.
 const maxEventSize = 1 << 20
 
-// Events splits a stream of server-sent events into complete events.
+// EventSplitter splits a stream of server-sent events into complete events.
 //
 // Guard: an upstream may break off in the middle of an event. If its bytes were relayed as they
 // arrive, the partial event and the next upstream's bytes would join into an event that neither
 // sent. So only complete events are returned.
-type Events struct {
+type EventSplitter struct {
 	scanner sse.Scanner
 	// pending holds the bytes after the last complete event, output what Push returned last.
 	pending, output []byte
@@ -25,16 +25,16 @@
 	hasLast         bool
 }
 
-// Resumed returns an Events that drops the events up to and including the ID last.
-func Resumed(last int64) *Events { return &Events{lastID: last, hasLast: true} }
+// ResumeAfter returns an EventSplitter that drops the events up to and including the ID last.
+func ResumeAfter(last int64) *EventSplitter { return &EventSplitter{lastID: last, hasLast: true} }
 
-// Last returns the ID of the newest event that was returned.
-func (e *Events) Last() (int64, bool) { return e.lastID, e.hasLast }
+// LastID returns the ID of the newest event that was returned.
+func (e *EventSplitter) LastID() (int64, bool) { return e.lastID, e.hasLast }
 
 // Push adds bytes of the stream and returns the complete events that are new, with any blank lines
 // between them, and the number of those events. The result is valid until the next call. ok is
 // false if an incomplete event exceeds maxEventSize.
-func (e *Events) Push(data []byte) (whole []byte, count int, ok bool) {
+func (e *EventSplitter) Push(data []byte) (whole []byte, count int, ok bool) {
 	e.pending = append(e.pending, data...)
 	e.output = e.output[:0]
 	begin := 0
@@ -57,13 +57,13 @@
 	return e.output, count, len(e.pending) <= maxEventSize
 }
 
-// Rest returns the number of bytes after the last complete event.
-func (e *Events) Rest() int { return len(e.pending) }
+// PendingBytes returns the number of bytes after the last complete event.
+func (e *EventSplitter) PendingBytes() int { return len(e.pending) }
 
-// End marks the end of the stream and returns the bytes after the last complete event. It returns
+// Finish marks the end of the stream and returns the bytes after the last complete event. It returns
 // ErrInsideEvent if they are the beginning of another event: then the stream is incomplete, however
 // its connection ended.
-func (e *Events) End() ([]byte, error) {
+func (e *EventSplitter) Finish() ([]byte, error) {
 	switch {
 	case e.scanner.InsideEvent(e.pending):
 		return nil, errors.Annotatef(ErrInsideEvent, "%d bytes after event %d", len(e.pending), e.lastID)
@@ -73,15 +73,15 @@
 	return e.pending, nil
 }
 
-// Break drops the bytes after the last complete event, before another upstream resumes the stream.
-func (e *Events) Break() {
+// DiscardPartial drops the bytes after the last complete event, before another upstream resumes the stream.
+func (e *EventSplitter) DiscardPartial() {
 	e.pending = e.pending[:0]
 	e.scanner = sse.Scanner{}
 }
 
 // isDuplicate reports whether the event's ID was returned before. It records a new ID as the last
 // one.
-func (e *Events) isDuplicate(event []byte) bool {
+func (e *EventSplitter) isDuplicate(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
 		return false
--- a/pkg/forward/events_bench_test.go
+++ b/pkg/forward/events_bench_test.go
@@ -16,7 +16,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%len(data) == 0 {
-					events = new(Events)
+					events = new(EventSplitter)
 				}
 				events.Push(data[i%len(data)])
 			}
@@ -24,4 +24,4 @@
 	}
 }
 
-var events *Events
+var events *EventSplitter
--- a/pkg/forward/events_test.go
+++ b/pkg/forward/events_test.go
@@ -12,7 +12,7 @@
 
 func eventText(n int) string { return fmt.Sprintf("id: %d\ndata: token%d\n\n", n, n) }
 
-func push(t *testing.T, e *Events, data string) string {
+func push(t *testing.T, e *EventSplitter, data string) string {
 	whole, _, ok := e.Push([]byte(data))
 	require.True(t, ok)
 	return string(whole)
@@ -22,22 +22,22 @@
 // event. If the bytes were relayed as they arrive, the two parts would join into an event that
 // neither sent.
 func TestEventsGoOnAfterTheLastWholeOne(t *testing.T) {
-	e := new(Events)
+	e := new(EventSplitter)
 	require.Equal(t, eventText(1)+eventText(2), push(t, e, eventText(1)+eventText(2)+"id: 3\ndata: tok"))
-	last, _ := e.Last()
+	last, _ := e.LastID()
 	require.EqualValues(t, 2, last)
-	e.Break()
+	e.DiscardPartial()
 	require.Equal(t, eventText(3), push(t, e, eventText(2)+eventText(3)), "an event must not be returned twice")
-	require.Zero(t, e.Rest())
+	require.Zero(t, e.PendingBytes())
 }
 
 func TestEventsOfAResumedCaller(t *testing.T) {
-	e := Resumed(2)
+	e := ResumeAfter(2)
 	require.Equal(t, eventText(3), push(t, e, eventText(1)+eventText(2)+eventText(3)))
 }
 
 func TestEventsWithoutEndAreRefused(t *testing.T) {
-	_, _, ok := new(Events).Push(bytes.Repeat([]byte("x"), maxEventSize+1))
+	_, _, ok := new(EventSplitter).Push(bytes.Repeat([]byte("x"), maxEventSize+1))
 	require.False(t, ok)
 }
 
@@ -49,7 +49,7 @@
 			end := rapid.SampledFrom([]string{"\n", "\r\n", "\r"}).Draw(t, "end")
 			all.WriteString(strings.ReplaceAll(eventText(i), "\n", end))
 		}
-		e, got, count, data := new(Events), "", 0, all.String()
+		e, got, count, data := new(EventSplitter), "", 0, all.String()
 		for len(data) > 0 {
 			k := rapid.IntRange(1, len(data)).Draw(t, "cut")
 			whole, events, _ := e.Push([]byte(data[:k]))
@@ -57,14 +57,14 @@
 			count += events
 			data = data[k:]
 		}
-		rest, err := e.End()
+		rest, err := e.Finish()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got += string(rest); got != all.String() {
 			t.Fatalf("got %q, want %q", got, all.String())
 		}
-		if last, _ := e.Last(); count < n-1 || n > 0 && last != int64(n-1) {
+		if last, _ := e.LastID(); count < n-1 || n > 0 && last != int64(n-1) {
 			t.Fatalf("got %d events of %d, the last ID is %d", count, n, last)
 		}
 	})
@@ -75,11 +75,11 @@
 	f.Add([]byte("id: x\n\n\n\nid:\n\n"), 1)
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		cut = max(0, min(cut, len(data)))
-		e := new(Events)
+		e := new(EventSplitter)
 		first, _, _ := e.Push(data[:cut])
 		got := len(first)
 		second, _, _ := e.Push(data[cut:])
-		if got+len(second)+e.Rest() > len(data) {
+		if got+len(second)+e.PendingBytes() > len(data) {
 			t.Fatal("more bytes were returned than pushed")
 		}
 	})
--- a/pkg/forward/fake_test.go
+++ b/pkg/forward/fake_test.go
@@ -53,7 +53,7 @@
 	return &Call{Instance: in, Method: http.MethodGet, URI: "/x", Host: "h", Header: http.Header{idHeader: {id}}, RequestID: id}
 }
 
-func do(t *testing.T, ps *Pools, c *Call) (*Answer, error) {
+func do(t *testing.T, ps *Pools, c *Call) (*Response, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	return ps.Do(ctx, c)
--- a/pkg/forward/response.go
+++ b/pkg/forward/response.go
@@ -20,8 +20,8 @@
 	idleTimeoutMargin = 800 * time.Millisecond
 )
 
-// Answer is an upstream's response, whose body is still to be read.
-type Answer struct {
+// Response is an upstream's response, whose body is still to be read.
+type Response struct {
 	Status int
 	Header http.Header
 	// Framing tells how the end of the body is marked. Ending tells what ended the reading of the
@@ -41,7 +41,7 @@
 	bodySent      chan error
 }
 
-func (r *Answer) setHeader(resp *http.Response) {
+func (r *Response) setHeader(resp *http.Response) {
 	r.Status, r.Header, r.body = resp.StatusCode, resp.Header, resp.Body
 	r.Framing = framingOf(resp)
 	r.conn.fresh = false
@@ -70,7 +70,7 @@
 
 // Read reads the body. It returns io.EOF only if the response is complete, and an *Error if it was
 // broken off.
-func (r *Answer) Read(b []byte) (int, error) {
+func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == nil {
 		return n, nil
@@ -94,7 +94,7 @@
 // complete response. But a crashed process accepts no new connections. The connection that is
 // opened for this check replaces the one that the response has used up. An upstream that is
 // draining stops listening before its last responses end, so its close is trusted.
-func (r *Answer) confirmComplete() error {
+func (r *Response) confirmComplete() error {
 	if r.Framing != FramedByClose || r.atEOF || r.pool.isDraining() {
 		return nil
 	}
@@ -114,7 +114,7 @@
 
 // Close keeps the connection for reuse if the response was read to its end and nothing follows it.
 // Otherwise it closes the connection, which makes the upstream drop the request.
-func (r *Answer) Close() {
+func (r *Response) Close() {
 	if !r.reusable() {
 		r.Discard()
 		return
@@ -132,10 +132,10 @@
 	r.pool.release(r.conn)
 }
 
-// Distrust makes Close close the connection, because its bytes contradict the response's framing.
-func (r *Answer) Distrust() { r.idleTimeout = 0 }
+// DisableReuse makes Close close the connection, because its bytes contradict the response's framing.
+func (r *Response) DisableReuse() { r.idleTimeout = 0 }
 
-func (r *Answer) reusable() bool {
+func (r *Response) reusable() bool {
 	if !r.atEOF || r.idleTimeout <= 0 || r.conn.reader.Buffered() > 0 {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // Discard closes the connection.
-func (r *Answer) Discard() {
+func (r *Response) Discard() {
 	r.stopAfterFunc()
 	r.abort.detach()
 	r.pool.discard(r.conn)
--- a/pkg/forward/send.go
+++ b/pkg/forward/send.go
@@ -22,7 +22,7 @@
 
 // send writes the request. If the socket doesn't accept all of a long body at once, the rest is
 // written while the response is read.
-func (r *Answer) send(c *Call) error {
+func (r *Response) send(c *Call) error {
 	buf := headerBuffers.Get().(*bytes.Buffer)
 	defer headerBuffers.Put(buf)
 	buf.Reset()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (r *Answer) sendAll(data []byte) error {
+func (r *Response) sendAll(data []byte) error {
 	n, err := r.conn.Write(data)
 	if err != nil {
 		return &Error{Sent: n > 0, Stage: "send", cause: err}
@@ -58,7 +58,7 @@
 // sendJoined passes data to the socket once and writes any rest while the response is read. There
 // is hardly ever a rest, which saves a goroutine and a write for each request with a body over
 // maxInlineBody.
-func (r *Answer) sendJoined(data []byte) error {
+func (r *Response) sendJoined(data []byte) error {
 	n, err := r.conn.tryWrite(data)
 	if err != nil {
 		return &Error{Sent: n > 0, Stage: "send", cause: err}
@@ -70,7 +70,7 @@
 }
 
 // sendInBackground writes data while the response is read.
-func (r *Answer) sendInBackground(data []byte) {
+func (r *Response) sendInBackground(data []byte) {
 	r.bodySent = make(chan error, 1)
 	go func(cn *conn, done chan<- error) {
 		_, err := cn.Write(data)
--- a/pkg/gateway/relay.go
+++ b/pkg/gateway/relay.go
@@ -33,12 +33,12 @@
 }
 
 // isEventStream reports whether the response is a stream of events.
-func (g *Gateway) isEventStream(r *request, resp *forward.Answer) bool {
+func (g *Gateway) isEventStream(r *request, resp *forward.Response) bool {
 	return r.route.Kind == routing.Stream && resp.Status < http.StatusMultipleChoices
 }
 
 // discardBody reads a response that nobody needs, so that its connection can be reused.
-func discardBody(resp *forward.Answer) {
+func discardBody(resp *forward.Response) {
 	if resp.Framing == forward.FramedByClose {
 		return // its connection can't be reused
 	}
@@ -47,7 +47,7 @@
 }
 
 // relayBuffered relays a response that is not a stream once it is complete.
-func (g *Gateway) relayBuffered(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Answer) attemptResult {
+func (g *Gateway) relayBuffered(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Response) attemptResult {
 	body, err := io.ReadAll(io.LimitReader(resp, maxBufferedResponse+1))
 	if err != nil {
 		return g.attemptFailed(r, rec, inst, err)
@@ -98,7 +98,7 @@
 }
 
 // relayLarge relays a response that is too large to buffer: start, then the rest as it arrives.
-func (g *Gateway) relayLarge(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Answer, start *bufferedResponse) {
+func (g *Gateway) relayLarge(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Response, start *bufferedResponse) {
 	g.writeResponse(r, start)
 	w := &callerWriter{w: r.w}
 	_, err := io.Copy(w, resp)
--- a/pkg/gateway/request.go
+++ b/pkg/gateway/request.go
@@ -33,7 +33,7 @@
 	tried       map[upstream.ID]bool
 	// splitter splits the stream into events, over all attempts; responseStarted is set once the
 	// response header has been sent to the caller.
-	splitter        *forward.Events
+	splitter        *forward.EventSplitter
 	responseStarted bool
 	// standing compares what the organisation gets with its fair share.
 	standing  placement.Standing
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -176,7 +176,7 @@
 }
 
 // recordEnding records how a response was framed and what ended it.
-func (g *Gateway) recordEnding(rec *attemptRecord, resp *forward.Answer) {
+func (g *Gateway) recordEnding(rec *attemptRecord, resp *forward.Response) {
 	if resp.Ending == "" {
 		return
 	}
@@ -188,7 +188,7 @@
 	inst := choice.Candidate.Instance
 	meta := AttemptMetadata{Instance: inst.ID, Organisation: r.org, TimeLeft: r.remaining(now), LastEventID: r.meta.LastEventID, Resumes: r.meta.Resumes}
 	if r.splitter != nil {
-		if last, seen := r.splitter.Last(); seen {
+		if last, seen := r.splitter.LastID(); seen {
 			meta.LastEventID, meta.Resumes = last, true
 		}
 	}
@@ -264,7 +264,7 @@
 }
 
 // attemptDeclined handles a response which says that the instance did not run the request.
-func (g *Gateway) attemptDeclined(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Answer) attemptResult {
+func (g *Gateway) attemptDeclined(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Response) attemptResult {
 	rec.Outcome = outcomeNotRun
 	if resp.Status == statusBadRequest {
 		return g.relayBuffered(r, rec, inst, resp)
--- a/pkg/gateway/stream.go
+++ b/pkg/gateway/stream.go
@@ -12,7 +12,7 @@
 )
 
 // relayStream relays events as they arrive.
-func (g *Gateway) relayStream(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Answer, state *attemptState) attemptResult {
+func (g *Gateway) relayStream(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Response, state *attemptState) attemptResult {
 	events := r.eventSplitter()
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
@@ -27,7 +27,7 @@
 			batched = g.waitForBatch(state)
 			continue
 		}
-		rec.RestBytes = events.Rest()
+		rec.RestBytes = events.PendingBytes()
 		if errors.Is(err, io.EOF) && r.endedWithoutEvent(resp) {
 			err = forward.ErrNoEvent
 		}
@@ -41,13 +41,13 @@
 // endedWithoutEvent reports whether a stream ended without any sign that the request ran: no event
 // arrived, and the end is marked by nothing but the connection's close. A caller that resumes a
 // stream may already have all of its events.
-func (r *request) endedWithoutEvent(resp *forward.Answer) bool {
+func (r *request) endedWithoutEvent(resp *forward.Response) bool {
 	return !r.responseStarted && !r.meta.Resumes && resp.Framing == forward.FramedByClose
 }
 
 // nextEvents reads from the response and returns the complete events. io.EOF means that the stream
 // is complete: the upstream ended it, and not inside an event.
-func nextEvents(resp *forward.Answer, events *forward.Events, buf []byte) (ready []byte, count int, err error) {
+func nextEvents(resp *forward.Response, events *forward.EventSplitter, buf []byte) (ready []byte, count int, err error) {
 	n, err := resp.Read(buf)
 	ready, count, ok := events.Push(buf[:n])
 	if !ok {
@@ -56,16 +56,16 @@
 	if !errors.Is(err, io.EOF) {
 		return ready, count, err
 	}
-	rest, partial := events.End()
+	rest, partial := events.Finish()
 	if partial != nil {
-		resp.Distrust()
+		resp.DisableReuse()
 		return ready, count, partial
 	}
 	return append(ready, rest...), count, err
 }
 
 // relayEvents writes the events in ready to the caller.
-func (g *Gateway) relayEvents(r *request, rec *attemptRecord, resp *forward.Answer, state *attemptState, ready []byte, count int, batched time.Duration) {
+func (g *Gateway) relayEvents(r *request, rec *attemptRecord, resp *forward.Response, state *attemptState, ready []byte, count int, batched time.Duration) {
 	now := time.Now()
 	if state.lastEventAt.IsZero() {
 		g.recordFirstEvent(r, state, now)
@@ -87,18 +87,18 @@
 }
 
 // eventSplitter returns the splitter of the request's stream, which all attempts share.
-func (r *request) eventSplitter() *forward.Events {
+func (r *request) eventSplitter() *forward.EventSplitter {
 	if r.splitter == nil {
-		r.splitter = new(forward.Events)
+		r.splitter = new(forward.EventSplitter)
 		if r.meta.Resumes {
-			r.splitter = forward.Resumed(r.meta.LastEventID)
+			r.splitter = forward.ResumeAfter(r.meta.LastEventID)
 		}
 	}
 	return r.splitter
 }
 
 // beginStream sends the response header, once: it is that of the first attempt with an event.
-func (g *Gateway) beginStream(r *request, resp *forward.Answer) {
+func (g *Gateway) beginStream(r *request, resp *forward.Response) {
 	if r.responseStarted {
 		return
 	}
@@ -108,7 +108,7 @@
 	r.w.WriteHeader(resp.Status)
 }
 
-func (g *Gateway) streamEnded(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Answer) attemptResult {
+func (g *Gateway) streamEnded(r *request, rec *attemptRecord, inst *upstream.Instance, resp *forward.Response) attemptResult {
 	if !r.responseStarted {
 		g.beginStream(r, resp)
 	}
@@ -122,7 +122,7 @@
 // attempt resumes after the last event, else the response to the caller is aborted.
 func (g *Gateway) streamBroken(r *request, rec *attemptRecord, inst *upstream.Instance, err error) attemptResult {
 	rec.Outcome, rec.Error = outcomeBroken, err.Error()
-	r.eventSplitter().Break()
+	r.eventSplitter().DiscardPartial()
 	if r.expired() || r.callerGone() {
 		if r.responseStarted {
 			rec.Outcome = outcomeTimeout
