--- a/pkg/forward/abort.go
+++ b/pkg/forward/abort.go
@@ -14,8 +14,8 @@
 	triggered bool
 }
 
-// Now shuts down the connection in use, if any, and prevents the call from using another one.
-func (a *Abort) Now() {
+// Trigger shuts down the connection in use, if any, and prevents the call from using another one.
+func (a *Abort) Trigger() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.triggered = true
--- a/pkg/forward/abort_test.go
+++ b/pkg/forward/abort_test.go
@@ -19,7 +19,7 @@
 		got <- err
 	})
 	c := get(in, "one")
-	c.Wanted = func() bool { return false }
+	c.StillWanted = func() bool { return false }
 	_, err := do(t, NewPools(idHeader), c)
 	require.ErrorIs(t, err, ErrUnwanted)
 	var failed *Error
@@ -33,7 +33,7 @@
 	in := fakeUpstream(t, echo)
 	c := get(in, "one")
 	c.Abort = new(Abort)
-	c.Abort.Now()
+	c.Abort.Trigger()
 	_, err := do(t, NewPools(idHeader), c)
 	require.ErrorIs(t, err, ErrAborted)
 }
@@ -54,7 +54,7 @@
 	require.NoError(t, err)
 	_, err = io.ReadFull(resp, make([]byte, len("half")))
 	require.NoError(t, err)
-	c.Abort.Now()
+	c.Abort.Trigger()
 	require.ErrorIs(t, <-closed, io.EOF)
 	_, err = resp.Read(make([]byte, 1))
 	require.ErrorIs(t, err, ErrAborted)
@@ -73,7 +73,7 @@
 	data, err := io.ReadAll(resp)
 	require.NoError(t, err)
 	require.Equal(t, "ok", string(data))
-	c.Abort.Now()
+	c.Abort.Trigger()
 	resp.Close()
 	require.Nil(t, ps.poolFor(in).popIdle())
 }
@@ -87,7 +87,7 @@
 	resp, err := do(t, ps, c)
 	require.NoError(t, err)
 	require.Equal(t, "ok", body(t, resp))
-	c.Abort.Now()
+	c.Abort.Trigger()
 	resp, err = do(t, ps, get(in, "two"))
 	require.NoError(t, err)
 	require.Equal(t, "ok", body(t, resp))
--- a/pkg/forward/call.go
+++ b/pkg/forward/call.go
@@ -17,9 +17,9 @@
 	Body   []byte
 	// RequestID is the ID that the response must carry in the pools' ID header.
 	RequestID string
-	// Wanted is called just before the first byte is sent; if it returns false, nothing is sent.
+	// StillWanted is called just before the first byte is sent; if it returns false, nothing is sent.
 	// Nil means that the call is always wanted.
-	Wanted func() bool
+	StillWanted func() bool
 	// Abort, if not nil, can cancel the call at any time.
 	Abort *Abort
 }
--- a/pkg/forward/do_test.go
+++ b/pkg/forward/do_test.go
@@ -85,7 +85,7 @@
 // Bodies around the sizes at which the way of sending changes must arrive complete, even at an
 // upstream that is slow to read, and their connections must be reused.
 func TestDoSendsBodiesOfAllSizes(t *testing.T) {
-	for _, size := range []int{1, maxInlineBody, maxInlineBody + 1, JoinedBody, JoinedBody + 1, 4 << 20} {
+	for _, size := range []int{1, maxInlineBody, maxInlineBody + 1, MaxJoinedBody, MaxJoinedBody + 1, 4 << 20} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
 			sent := strings.Repeat("0123456789abcdef", size/16+1)[:size]
 			var got [2]string
@@ -117,7 +117,7 @@
 
 // What doesn't fit the socket's buffer must be written when there is room.
 func TestDoSendsWhatTheSocketDidNotTake(t *testing.T) {
-	sent := strings.Repeat("0123456789abcdef", JoinedBody/16)
+	sent := strings.Repeat("0123456789abcdef", MaxJoinedBody/16)
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
 		c.(*net.TCPConn).SetReadBuffer(1)
 		time.Sleep(20 * time.Millisecond)
@@ -146,7 +146,7 @@
 // A body's memory is reused as soon as Do has returned. The upstream must receive the original
 // bytes even if it reads them later.
 func TestDoLeavesTheBodyAlone(t *testing.T) {
-	sent := strings.Repeat("0123456789abcdef", JoinedBody/16)
+	sent := strings.Repeat("0123456789abcdef", MaxJoinedBody/16)
 	overwritten := make(chan struct{})
 	got := make(chan bool, 1)
 	in := fakeUpstream(t, func(c net.Conn, r *bufio.Reader) {
--- a/pkg/forward/ending.go
+++ b/pkg/forward/ending.go
@@ -14,23 +14,23 @@
 
 // Endings of responses. The first three are those of complete responses.
 const (
-	EndedByHead   Ending = "head"
-	EndedByLength Ending = "length"
-	EndedByChunk  Ending = "last_chunk"
+	EndedByHeader    Ending = "head"
+	EndedByLength    Ending = "length"
+	EndedByLastChunk Ending = "last_chunk"
 	// EndedByClose: the upstream closed the connection, which marks the end of this response.
 	EndedByClose Ending = "close"
 	// EndedUnconfirmed: as EndedByClose, but the upstream accepts no new connection afterwards.
 	EndedUnconfirmed Ending = "close_unconfirmed"
-	// EndedShort: the upstream closed the connection before the declared length or the last chunk.
-	EndedShort   Ending = "closed_early"
+	// EndedEarly: the upstream closed the connection before the declared length or the last chunk.
+	EndedEarly   Ending = "closed_early"
 	EndedByReset Ending = "reset"
-	// EndedBySilence: the connection timed out.
-	EndedBySilence Ending = "silence"
-	// EndedHere: this router canceled the call because the caller left, the deadline passed or the
+	// EndedByTimeout: the connection timed out.
+	EndedByTimeout Ending = "silence"
+	// EndedByAbort: this router canceled the call because the caller left, the deadline passed or the
 	// upstream was restarted.
-	EndedHere Ending = "aborted"
-	// EndedBadly: the framing is malformed.
-	EndedBadly Ending = "malformed"
+	EndedByAbort Ending = "aborted"
+	// EndedMalformed: the framing is malformed.
+	EndedMalformed Ending = "malformed"
 )
 
 // endingOf returns the ending that a read error of the body stands for. aborted says that this
@@ -39,17 +39,17 @@
 	var netErr net.Error
 	switch {
 	case aborted, errors.Is(err, ErrAborted), errors.Is(err, net.ErrClosed), errors.Is(err, context.Canceled):
-		return EndedHere
+		return EndedByAbort
 	case errors.Is(err, io.EOF):
 		return completeEnding(framing)
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return EndedShort
+		return EndedEarly
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return EndedByReset
 	case errors.As(err, &netErr) && netErr.Timeout():
-		return EndedBySilence
+		return EndedByTimeout
 	}
-	return EndedBadly
+	return EndedMalformed
 }
 
 // completeEnding returns the ending of a complete response.
@@ -58,9 +58,9 @@
 	case FramedByLength:
 		return EndedByLength
 	case FramedByChunks:
-		return EndedByChunk
+		return EndedByLastChunk
 	case FramedByClose:
 		return EndedByClose
 	}
-	return EndedByHead
+	return EndedByHeader
 }
--- a/pkg/forward/ending_test.go
+++ b/pkg/forward/ending_test.go
@@ -22,10 +22,10 @@
 	}{
 		"length":             {sent: "Content-Length: 5\r\n\r\nhello", framing: FramedByLength, ending: EndedByLength},
 		"length of zero":     {sent: "Content-Length: 0\r\n\r\n", framing: FramedByLength, ending: EndedByLength},
-		"length not reached": {sent: "Content-Length: 5\r\n\r\nhell", framing: FramedByLength, ending: EndedShort},
-		"chunks":             {sent: "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", framing: FramedByChunks, ending: EndedByChunk},
-		"no last chunk":      {sent: "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", framing: FramedByChunks, ending: EndedShort},
-		"malformed chunks":   {sent: "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n", framing: FramedByChunks, ending: EndedBadly},
+		"length not reached": {sent: "Content-Length: 5\r\n\r\nhell", framing: FramedByLength, ending: EndedEarly},
+		"chunks":             {sent: "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", framing: FramedByChunks, ending: EndedByLastChunk},
+		"no last chunk":      {sent: "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", framing: FramedByChunks, ending: EndedEarly},
+		"malformed chunks":   {sent: "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n", framing: FramedByChunks, ending: EndedMalformed},
 		"close":              {sent: "\r\nhello", framing: FramedByClose, ending: EndedByClose},
 		"empty until close":  {sent: "\r\n", framing: FramedByClose, ending: EndedByClose},
 		"reset":              {sent: "\r\nhello", reset: true, framing: FramedByClose, ending: EndedByReset},
@@ -71,10 +71,10 @@
 	defer resp.Close()
 	_, err = io.ReadFull(resp, make([]byte, len("hello")))
 	require.NoError(t, err)
-	c.Abort.Now()
+	c.Abort.Trigger()
 	_, err = io.ReadAll(resp)
 	require.ErrorIs(t, err, ErrAborted)
-	require.Equal(t, EndedHere, resp.Ending)
+	require.Equal(t, EndedByAbort, resp.Ending)
 }
 
 // Guards against blaming the upstream for a call that is canceled while its response is being
@@ -91,7 +91,7 @@
 	resp.body = io.NopCloser(io.MultiReader(resp.body, &cancelingReader{cancel: cancel}))
 	_, err = io.ReadAll(resp)
 	require.ErrorIs(t, err, ErrAborted)
-	require.Equal(t, EndedHere, resp.Ending)
+	require.Equal(t, EndedByAbort, resp.Ending)
 }
 
 // cancelingReader cancels a call when its response ends.
--- a/pkg/forward/error.go
+++ b/pkg/forward/error.go
@@ -16,7 +16,7 @@
 
 // Errors of event streams whose connections ended without an error.
 const (
-	ErrInsideEvent = errors.ConstError("the stream ended inside an event")
+	ErrPartialEvent = errors.ConstError("the stream ended inside an event")
 	ErrNoEvent     = errors.ConstError("the stream's connection was closed before its first event")
 )
 
--- a/pkg/forward/events.go
+++ b/pkg/forward/events.go
@@ -61,12 +61,12 @@
 func (e *EventSplitter) PendingBytes() int { return len(e.pending) }
 
 // Finish marks the end of the stream and returns the bytes after the last complete event. It returns
-// ErrInsideEvent if they are the beginning of another event: then the stream is incomplete, however
+// ErrPartialEvent if they are the beginning of another event: then the stream is incomplete, however
 // its connection ended.
 func (e *EventSplitter) Finish() ([]byte, error) {
 	switch {
 	case e.scanner.InsideEvent(e.pending):
-		return nil, errors.Annotatef(ErrInsideEvent, "%d bytes after event %d", len(e.pending), e.lastID)
+		return nil, errors.Annotatef(ErrPartialEvent, "%d bytes after event %d", len(e.pending), e.lastID)
 	case e.scanner.Complete(e.pending) && e.isDuplicate(e.pending):
 		return nil, nil
 	}
--- a/pkg/forward/framing.go
+++ b/pkg/forward/framing.go
@@ -7,8 +7,8 @@
 
 // Framings of responses.
 const (
-	// FramedByHead: the status or the request's method allows no body.
-	FramedByHead Framing = "head"
+	// FramedByHeader: the status or the request's method allows no body.
+	FramedByHeader Framing = "head"
 	// FramedByLength: by Content-Length.
 	FramedByLength Framing = "length"
 	// FramedByChunks: by the last chunk of a chunked Transfer-Encoding.
@@ -35,5 +35,5 @@
 	if resp.ContentLength == 0 && resp.Header.Get("Content-Length") != "" {
 		return FramedByLength
 	}
-	return FramedByHead
+	return FramedByHeader
 }
--- a/pkg/forward/life_test.go
+++ b/pkg/forward/life_test.go
@@ -56,10 +56,10 @@
 	in, arrived := silentOnce(t)
 	first, second := withStart(in, 2000), withStart(in, 1000)
 	ps := NewPools(idHeader)
-	ps.Follow(newSet(first), time.Time{})
+	ps.UpdateList(newSet(first), time.Time{})
 	ended := startAttempt(t, ps, first)
 	<-arrived
-	ps.Follow(newSet(second), time.Now())
+	ps.UpdateList(newSet(second), time.Now())
 	err := <-ended
 	var failed *Error
 	require.True(t, errors.As(err, &failed))
@@ -77,8 +77,8 @@
 	ps := NewPools(idHeader)
 	ended := startAttempt(t, ps, first)
 	<-arrived
-	ps.Follow(newSet(), time.Now())
-	ps.Follow(newSet(second), time.Now().Add(time.Minute))
+	ps.UpdateList(newSet(), time.Now())
+	ps.UpdateList(newSet(second), time.Now().Add(time.Minute))
 	require.Error(t, <-ended)
 }
 
@@ -103,7 +103,7 @@
 	ps := NewPools(idHeader)
 	ended := startAttempt(t, ps, first)
 	<-began
-	ps.Follow(newSet(second), known)
+	ps.UpdateList(newSet(second), known)
 	close(release)
 	require.NoError(t, <-ended)
 }
@@ -114,10 +114,10 @@
 	in, began, release := serveOnRelease(t)
 	first, second := withStart(in, 1000), withStart(in, 2000)
 	ps := NewPools(idHeader)
-	ps.Follow(newSet(second), time.Now())
+	ps.UpdateList(newSet(second), time.Now())
 	ended := startAttempt(t, ps, first)
 	<-began
-	ps.Follow(newSet(second), time.Now())
+	ps.UpdateList(newSet(second), time.Now())
 	close(release)
 	require.NoError(t, <-ended)
 }
@@ -130,7 +130,7 @@
 	ps := NewPools(idHeader)
 	ended := startAttempt(t, ps, first)
 	<-began
-	ps.Follow(newSet(), time.Now())
+	ps.UpdateList(newSet(), time.Now())
 	ps.sweep(newSet(), time.Now())
 	close(release)
 	require.NoError(t, <-ended)
@@ -145,8 +145,8 @@
 	ps := NewPools(idHeader)
 	resp, err := do(t, ps, get(first, "one"))
 	require.NoError(t, err)
-	ps.Follow(newSet(&upstream.Instance{ID: in.ID, State: upstream.Unusable}), time.Now())
-	ps.Follow(newSet(first), time.Now())
+	ps.UpdateList(newSet(&upstream.Instance{ID: in.ID, State: upstream.Unusable}), time.Now())
+	ps.UpdateList(newSet(first), time.Now())
 	require.Equal(t, "ok", body(t, resp))
 	resp, err = do(t, ps, get(first, "two"))
 	require.NoError(t, err)
@@ -162,7 +162,7 @@
 	resp, err := do(t, ps, get(first, "one"))
 	require.NoError(t, err)
 	require.Equal(t, "ok", body(t, resp))
-	ps.Follow(newSet(second), time.Now())
+	ps.UpdateList(newSet(second), time.Now())
 	ps.sweep(newSet(second), time.Now())
 	require.Empty(t, ps.pools)
 	require.Empty(t, ps.listedUntil)
--- a/pkg/forward/pools.go
+++ b/pkg/forward/pools.go
@@ -41,7 +41,7 @@
 
 	mu    sync.Mutex
 	pools map[poolKey]*pool
-	// current is the newest list that Follow was given; nil before the first one.
+	// current is the newest list that UpdateList was given; nil before the first one.
 	current *upstream.Set
 	// listedUntil holds, for each life that is no longer listed, a time until which it was
 	// certainly listed.
@@ -68,14 +68,14 @@
 		ps.pools[key] = p
 		if ps.current != nil && !isListed(ps.current, key) {
 			// The request was placed by the previous list and connects after that list was current,
-			// so Follow must spare it.
+			// so UpdateList must spare it.
 			ps.listedUntil[key] = time.Time{}
 		}
 	}
 	return p
 }
 
-// Follow takes over a new list of instances. lastCurrent is the last time at which the previous
+// UpdateList takes over a new list of instances. lastCurrent is the last time at which the previous
 // list was known to be current.
 //
 // Guard: a process may end without closing its connections, for example if its host is disconnected
@@ -83,7 +83,7 @@
 // up, so they are aborted as soon as the list shows a new life under the ID. The list lags behind:
 // a connection that was opened after the list last showed the old life may lead to the new one
 // already, and is left open.
-func (ps *Pools) Follow(set *upstream.Set, lastCurrent time.Time) {
+func (ps *Pools) UpdateList(set *upstream.Set, lastCurrent time.Time) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.current = set
--- a/pkg/forward/response.go
+++ b/pkg/forward/response.go
@@ -100,7 +100,7 @@
 	}
 	c, err := r.pool.dial(r.ctx)
 	if err != nil && (r.abort.isTriggered() || r.ctx.Err() != nil) {
-		r.Ending = EndedHere
+		r.Ending = EndedByAbort
 		return ErrAborted
 	}
 	if err != nil {
--- a/pkg/forward/send.go
+++ b/pkg/forward/send.go
@@ -12,10 +12,10 @@
 	// read. It fits the socket's buffer. A larger body could fill the buffer while the upstream
 	// waits for this router to read an early response.
 	maxInlineBody = 4 << 10
-	// JoinedBody is the size, in bytes, up to which a body is passed to the socket together with
+	// MaxJoinedBody is the size, in bytes, up to which a body is passed to the socket together with
 	// its header: three times the 9 KB of a request with a long prompt. A body up to this size
 	// isn't accessed after Do has returned.
-	JoinedBody = 32 << 10
+	MaxJoinedBody = 32 << 10
 )
 
 var headerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
@@ -29,14 +29,14 @@
 	writeHeader(buf, c)
 	// Guard: on a host whose CPU is exhausted, connecting takes seconds, and the caller may leave
 	// meanwhile. Without a check at this point, the upstream would work for nobody.
-	if c.Wanted != nil && !c.Wanted() {
+	if c.StillWanted != nil && !c.StillWanted() {
 		return &Error{Stage: "send", cause: ErrUnwanted}
 	}
 	switch {
 	case len(c.Body) <= maxInlineBody:
 		buf.Write(c.Body)
 		return r.sendAll(buf.Bytes())
-	case len(c.Body) <= JoinedBody:
+	case len(c.Body) <= MaxJoinedBody:
 		buf.Write(c.Body)
 		return r.sendJoined(buf.Bytes())
 	}
--- a/pkg/gateway/body.go
+++ b/pkg/gateway/body.go
@@ -26,7 +26,7 @@
 // sent with another caller's request. Only bodies that package forward doesn't retain are read
 // into pooled buffers, and a buffer is returned to the pool when its request has ended.
 func (r *request) readFixedLength(length int64) ([]byte, error) {
-	if length > forward.JoinedBody {
+	if length > forward.MaxJoinedBody {
 		return readFull(r.in.Body, make([]byte, length))
 	}
 	r.bodyBuffer = bodyBuffers.Get().(*[]byte)
--- a/pkg/gateway/canceler.go
+++ b/pkg/gateway/canceler.go
@@ -18,5 +18,5 @@
 func (c *canceler) cancelForCaller() {
 	c.left.Store(true)
 	c.cancel()
-	c.abort.Now()
+	c.abort.Trigger()
 }
--- a/pkg/gateway/run.go
+++ b/pkg/gateway/run.go
@@ -198,7 +198,7 @@
 	return &forward.Call{
 		Instance: inst, Method: r.in.Method, URI: r.in.RequestURI, Host: r.in.Host,
 		Header: g.dialect.UpstreamHeader(r.in.Header, meta), Body: r.body, RequestID: r.meta.RequestID,
-		Wanted: func() bool { return r.stillWanted() && g.sendable(r, inst) }, Abort: &r.canceler.abort,
+		StillWanted: func() bool { return r.stillWanted() && g.sendable(r, inst) }, Abort: &r.canceler.abort,
 	}
 }
 
--- a/pkg/gateway/unframed_test.go
+++ b/pkg/gateway/unframed_test.go
@@ -57,12 +57,12 @@
 // replaceFirst replaces the first upstream by u.
 func (env *testEnv) replaceFirst(u *rawUpstream, state upstream.State) {
 	env.instances[0].Addr, env.instances[0].State = u.Addr().String(), upstream.Ready
-	env.gateway.pools.Follow(upstream.NewSet(env.instances), time.Now())
+	env.gateway.pools.UpdateList(upstream.NewSet(env.instances), time.Now())
 	env.catalog.Replace(env.instances, 2, time.Now(), "test")
 	if state != upstream.Ready {
 		listed := append([]upstream.Instance(nil), env.instances...)
 		listed[0].State = state
-		env.gateway.pools.Follow(upstream.NewSet(listed), time.Now())
+		env.gateway.pools.UpdateList(upstream.NewSet(listed), time.Now())
 	}
 }
 
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -124,7 +124,7 @@
 	p.warmup = warmup.NewGate(p.roster, p.listCurrent, l)
 	p.tuneWarmup(s)
 	p.catalog.Follow(func(set *upstream.Set, known time.Time) {
-		p.pools.Follow(set, known)
+		p.pools.UpdateList(set, known)
 		p.warmup.Follow(set, time.Now())
 	})
 	p.catalog.FollowRestored(p.warmup.Restore)
