--- a/pkg/forward/error.go
+++ b/pkg/forward/error.go
@@ -17,7 +17,7 @@
 // Errors of event streams whose connections ended without an error.
 const (
 	ErrPartialEvent = errors.ConstError("the stream ended inside an event")
-	ErrNoEvent     = errors.ConstError("the stream's connection was closed before its first event")
+	ErrNoEvent      = errors.ConstError("the stream's connection was closed before its first event")
 )
 
 // Error is the error of a call without a usable response.
