--- a/pkg/forward/send.go
+++ b/pkg/forward/send.go
@@ -12,31 +12,31 @@
 	// read. It fits the socket's buffer. A larger body could fill the buffer while the upstream
 	// waits for this router to read an early response.
 	maxInlineBody = 4 << 10
-	// JoinedBody is the size, in bytes, up to which a body is passed to the socket together with
+	// MaxJoinedBody is the size, in bytes, up to which a body is passed to the socket together with
 	// its header: three times the 9 KB of a request with a long prompt. A body up to this size
 	// isn't accessed after Do has returned.
-	JoinedBody = 32 << 10
+	MaxJoinedBody = 32 << 10
 )
 
 var headerBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // send writes the request. If the socket doesn't accept all of a long body at once, the rest is
 // written while the response is read.
-func (r *Answer) send(c *Call) error {
+func (r *Response) send(c *Call) error {
 	buf := headerBuffers.Get().(*bytes.Buffer)
 	defer headerBuffers.Put(buf)
 	buf.Reset()
 	writeHeader(buf, c)
 	// Guard: on a host whose CPU is exhausted, connecting takes seconds, and the caller may leave
 	// meanwhile. Without a check at this point, the upstream would work for nobody.
-	if c.Wanted != nil && !c.Wanted() {
+	if c.StillWanted != nil && !c.StillWanted() {
 		return &Error{Stage: "send", cause: ErrUnwanted}
 	}
 	switch {
 	case len(c.Body) <= maxInlineBody:
 		buf.Write(c.Body)
 		return r.sendAll(buf.Bytes())
-	case len(c.Body) <= JoinedBody:
+	case len(c.Body) <= MaxJoinedBody:
 		buf.Write(c.Body)
 		return r.sendJoined(buf.Bytes())
 	}
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (r *Answer) sendAll(data []byte) error {
+func (r *Response) sendAll(data []byte) error {
 	n, err := r.conn.Write(data)
 	if err != nil {
 		return &Error{Sent: n > 0, Stage: "send", cause: err}
@@ -58,7 +58,7 @@
 // sendJoined passes data to the socket once and writes any rest while the response is read. There
 // is hardly ever a rest, which saves a goroutine and a write for each request with a body over
 // maxInlineBody.
-func (r *Answer) sendJoined(data []byte) error {
+func (r *Response) sendJoined(data []byte) error {
 	n, err := r.conn.tryWrite(data)
 	if err != nil {
 		return &Error{Sent: n > 0, Stage: "send", cause: err}
@@ -70,7 +70,7 @@
 }
 
 // sendInBackground writes data while the response is read.
-func (r *Answer) sendInBackground(data []byte) {
+func (r *Response) sendInBackground(data []byte) {
 	r.bodySent = make(chan error, 1)
 	go func(cn *conn, done chan<- error) {
 		_, err := cn.Write(data)
--- a/pkg/gatewayd/process.go
+++ b/pkg/gatewayd/process.go
@@ -101,7 +101,7 @@
 	if s.Limits.MemoryMiB > 0 {
 		debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMiB<<20) * softMemoryShare))
 	}
-	suspects := quarantine.New(quarantine.Config{Limit: gateway.CrashLimit, FadeAfter: gateway.QuarantineDuration})
+	suspects := quarantine.New(quarantine.Config{CrashLimit: gateway.CrashLimit, Duration: gateway.QuarantineDuration})
 	loads, shares, inflows, estimator := placement.NewLoadTracker(), placement.NewShares(), placement.NewInflows(), pace.NewEstimator()
 	p := &Process{log: l, setStoreAddr: d.Readdress, metrics: telemetry.NewMetrics(), catalog: catalog.New(l), pools: forward.NewPools(d.Dialect.IDHeader()),
 		health: upstream.NewHealth(), prefixIndex: placement.NewKVIndex()}
@@ -124,7 +124,7 @@
 	p.warmup = warmup.NewGate(p.roster, p.listCurrent, l)
 	p.updateWarmup(s)
 	p.catalog.OnInstances(func(set *upstream.Set, known time.Time) {
-		p.pools.Follow(set, known)
+		p.pools.UpdateList(set, known)
 		p.warmup.SetUpstreams(set, time.Now())
 	})
 	p.catalog.OnZonesRestored(p.warmup.MarkRestored)
