--- a/pkg/catalog/held.go
+++ b/pkg/catalog/held.go
@@ -26,7 +26,7 @@
 	listCurrentAt time.Time
 	// graceEnd is the end of the grace period; it is over once the store has responded after it.
 	graceEnd time.Time
-	// servingBefore is the number of serving instances of each service servingBefore the interruption.
+	// servingBefore is the number of serving instances of each service before the interruption.
 	servingBefore map[string]int
 	// services are the services whose missing instances are held.
 	services map[string]bool
@@ -43,7 +43,7 @@
 	*l = heldInstances{active: true, listCurrentAt: listCurrentAt, servingBefore: countServing(old.List()), services: make(map[string]bool), ids: make(map[upstream.ID]bool)}
 }
 
-// countServing counts the countServing instances of each service.
+// countServing counts the serving instances of each service.
 func countServing(list []upstream.Instance) map[string]int {
 	count := make(map[string]int)
 	for _, in := range list {
@@ -144,7 +144,7 @@
 	return gone
 }
 
-// removals returns the removals of all removals instances.
+// removals returns the removals of all held instances.
 func (l *heldInstances) removals() []upstream.Change {
 	gone := make([]upstream.Change, 0, len(l.ids))
 	for id := range l.ids {
--- a/pkg/catalog/watch.go
+++ b/pkg/catalog/watch.go
@@ -249,7 +249,7 @@
 	return open && now.Sub(end) > staleCheckPause+w.role.FallbackDelay()
 }
 
-// listCurrent reports whether the instance list is known to be listCurrent.
+// listCurrent reports whether the instance list is known to be current.
 func (w *Watcher) listCurrent() bool {
 	return w.catalog.InstancesRevision() > 0 && w.catalog.InstancesAge(time.Now()) < w.maxListAge()
 }
--- a/pkg/claimant/events.go
+++ b/pkg/claimant/events.go
@@ -11,7 +11,7 @@
 	apply(m *stateMachine, now time.Time)
 }
 
-// joinEvent is a new request of a caller, callerLeft its withdrawal.
+// joinEvent is a new request of a caller, leaveEvent its withdrawal.
 type joinEvent struct{ waiter *waiter }
 type leaveEvent struct{ waiter *waiter }
 
@@ -22,7 +22,7 @@
 	firstToken, tokenInterval time.Duration
 }
 
-// grantEvent, refusalReceived and stateReceived are messages from a keeper.
+// grantEvent, refusalEvent and stateEvent are messages from a keeper.
 type grantEvent struct {
 	from  wire.RouterID
 	grant wire.Grant
--- a/pkg/fleet/join.go
+++ b/pkg/fleet/join.go
@@ -54,12 +54,12 @@
 	registry  Registry
 	// seeds are addresses of routers that may be alive.
 	seeds []string
-	// firstStart says that the whole fleet starts for the firstStart time.
+	// firstStart says that the whole fleet starts for the first time.
 	firstStart bool
 	log        log.Interface
-	// askedAt is when the registry was first askedAt; nil before.
+	// askedAt is when the registry was first asked; nil before.
 	askedAt atomic.Pointer[time.Time]
-	// listRead is whether the list has been listRead.
+	// listRead is whether the list has been read.
 	listRead atomic.Bool
 	// listed is whether this router is on the list.
 	listed bool
