--- a/pkg/catalog/evacuations.go
+++ b/pkg/catalog/evacuations.go
@@ -35,8 +35,8 @@
 	return Evacuations{}
 }
 
-// ReplaceEvacuations sets all evacuated zones as of a revision. A revision that is not newer than the known
-// one is ignored.
+// ReplaceEvacuations sets all evacuated zones as of a revision. A revision that is not newer than the
+// known one is ignored: each state is complete, so that of the later revision holds.
 func (c *Catalog) ReplaceEvacuations(zones []string, rev Revision, source string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
